--- a/packages/cli/src/node/adminClient.ts
+++ b/packages/cli/src/node/adminClient.ts
@@ -1,6 +1,6 @@
 import {
-  type CallError,
-  type JsonReply,
+  type RequestError,
+  type JsonResponse,
   requestJson,
 } from '@auburnbay/http-utils'
 import type { Result } from 'neverthrow'
@@ -15,7 +15,7 @@
 
 /** Calls the administration API of one router. */
 export interface AdminClient {
-  call(req: AdminRequest): Promise<Result<JsonReply, CallError>>
+  call(req: AdminRequest): Promise<Result<JsonResponse, RequestError>>
 }
 
 const TIMEOUT_MS = 30_000
--- a/packages/cli/src/node/commands/config/submitPatch.ts
+++ b/packages/cli/src/node/commands/config/submitPatch.ts
@@ -1,5 +1,5 @@
 import { randomUUID } from 'node:crypto'
-import type { CallError, JsonReply } from '@auburnbay/http-utils'
+import type { RequestError, JsonResponse } from '@auburnbay/http-utils'
 import { ok, type Result } from 'neverthrow'
 import type { AdminClient } from '../../adminClient.js'
 import { messages } from '../../output/messages.js'
@@ -23,7 +23,7 @@
 
 const MAX_REBASES = 5
 
-function conflictOf(reply: JsonReply): ConflictBody | undefined {
+function conflictOf(reply: JsonResponse): ConflictBody | undefined {
   return reply.status === 409 ? (reply.body as ConflictBody) : undefined
 }
 
@@ -43,7 +43,7 @@
 export async function submitPatch(
   client: AdminClient,
   args: PatchArgs,
-): Promise<Result<JsonReply, CallError>> {
+): Promise<Result<JsonResponse, RequestError>> {
   let baseVersion = args.base
   if (baseVersion === undefined) {
     const current = await client.call({ path: '/config' })
--- a/packages/cli/src/node/output/printReply.ts
+++ b/packages/cli/src/node/output/printReply.ts
@@ -1,4 +1,4 @@
-import type { CallError, JsonReply } from '@auburnbay/http-utils'
+import type { RequestError, JsonResponse } from '@auburnbay/http-utils'
 import type { Result } from 'neverthrow'
 import { ExitCode } from '../exitCode.js'
 import { messages } from './messages.js'
@@ -26,7 +26,7 @@
 
 /** Prints an answer and returns the exit code that belongs to it. */
 export function printReply(
-  reply: Result<JsonReply, CallError>,
+  reply: Result<JsonResponse, RequestError>,
   json: boolean,
   format: Formatter = asJson,
 ): ExitCode {
--- a/packages/core/src/node/admission/__tests__/createRequestQueue.test.ts
+++ b/packages/core/src/node/admission/__tests__/createRequestQueue.test.ts
@@ -62,7 +62,7 @@
         for (const [index, step] of list.entries()) {
           nowMs += step.pauseMs
           if (step.kind === StepKind.Take) {
-            assert.equal(queue.take(nowMs)?.id, naive.take(nowMs))
+            assert.equal(queue.dequeue(nowMs)?.id, naive.take(nowMs))
           } else if (step.kind === StepKind.Remove) {
             queue.remove(String(step.pick))
             naive.remove(String(step.pick))
@@ -74,7 +74,7 @@
               enqueuedAtMs: nowMs,
               deadlineAtMs: nowMs + step.deadline,
             })
-            assert.equal(queue.offer(offered)[0]?.id, naive.offer(offered))
+            assert.equal(queue.enqueue(offered)[0]?.id, naive.offer(offered))
           }
           assert.ok(queue.size <= capacity)
         }
@@ -94,12 +94,12 @@
       for (const [index, step] of list.entries()) {
         nowMs += step.pauseMs
         if (step.kind !== StepKind.Take) {
-          queue.offer(
+          queue.enqueue(
             request({ ...step, id: String(index), enqueuedAtMs: nowMs }),
           )
           continue
         }
-        const taken = queue.take(nowMs)
+        const taken = queue.dequeue(nowMs)
         if (!taken) continue
         const rank = effectiveRank(taken, nowMs, AGEING_MS)
         for (const other of queue.requests())
@@ -115,11 +115,11 @@
       ageingMs: AGEING_MS,
       shareHalfLifeMs: HALF_LIFE_MS,
     })
-    queue.offer(request({ id: 'low', rank: 8 }))
-    queue.offer(request({ id: 'mid', rank: 5 }))
-    assert.equal(queue.offer(request({ id: 'top', rank: 0 }))[0]?.id, 'low')
-    assert.equal(queue.offer(request({ id: 'late', rank: 9 }))[0]?.id, 'late')
-    assert.equal(queue.take(0)?.id, 'top')
+    queue.enqueue(request({ id: 'low', rank: 8 }))
+    queue.enqueue(request({ id: 'mid', rank: 5 }))
+    assert.equal(queue.enqueue(request({ id: 'top', rank: 0 }))[0]?.id, 'low')
+    assert.equal(queue.enqueue(request({ id: 'late', rank: 9 }))[0]?.id, 'late')
+    assert.equal(queue.dequeue(0)?.id, 'top')
   })
 
   it('serves a low rank though urgent requests keep coming', () => {
@@ -128,13 +128,15 @@
       ageingMs: AGEING_MS,
       shareHalfLifeMs: HALF_LIFE_MS,
     })
-    queue.offer(request({ id: 'low', rank: 9, customer: 'b' }))
+    queue.enqueue(request({ id: 'low', rank: 9, customer: 'b' }))
     let nowMs = 0
     let served: string | undefined
     while (served !== 'low' && nowMs < 20 * AGEING_MS) {
       nowMs += 10
-      queue.offer(request({ id: `top-${nowMs}`, rank: 0, enqueuedAtMs: nowMs }))
-      served = queue.take(nowMs)?.id
+      queue.enqueue(
+        request({ id: `top-${nowMs}`, rank: 0, enqueuedAtMs: nowMs }),
+      )
+      served = queue.dequeue(nowMs)?.id
     }
     assert.equal(served, 'low')
     assert.ok(nowMs <= 10 * AGEING_MS)
@@ -149,10 +151,12 @@
     const served = new Map<string, number>()
     for (let index = 0; index < 400; index += 1) {
       const customer = index < 200 ? 'a' : index < 300 ? 'b' : 'c'
-      queue.offer(request({ id: String(index), customer, enqueuedAtMs: index }))
+      queue.enqueue(
+        request({ id: String(index), customer, enqueuedAtMs: index }),
+      )
     }
     for (let index = 0; index < 70; index += 1) {
-      const customer = queue.take(400)?.customer ?? ''
+      const customer = queue.dequeue(400)?.customer ?? ''
       served.set(customer, (served.get(customer) ?? 0) + 1)
     }
     assert.deepEqual(Object.fromEntries(served), { a: 10, b: 20, c: 40 })
@@ -166,16 +170,16 @@
       shareHalfLifeMs,
     })
     for (let index = 0; index < 20_000; index += 1)
-      queue.offer(request({ id: `a${index}` }))
+      queue.enqueue(request({ id: `a${index}` }))
     // One request each 10 ms for ten half-lives.
     let nowMs = 0
-    for (; nowMs < 10 * shareHalfLifeMs; nowMs += 10) queue.take(nowMs)
+    for (; nowMs < 10 * shareHalfLifeMs; nowMs += 10) queue.dequeue(nowMs)
     for (let index = 0; index < 1_000; index += 1)
-      queue.offer(
+      queue.enqueue(
         request({ id: `d${index}`, customer: 'd', enqueuedAtMs: nowMs }),
       )
     let caughtUp = 0
-    while (queue.take(nowMs + 10 * caughtUp)?.customer === 'd') caughtUp += 1
+    while (queue.dequeue(nowMs + 10 * caughtUp)?.customer === 'd') caughtUp += 1
     // Half of what the other got within the mean life of its service.
     const meanLifeMs = shareHalfLifeMs / Math.LN2
     assert.ok(caughtUp > 0)
@@ -189,12 +193,12 @@
       shareHalfLifeMs: 1e9,
     })
     for (let index = 0; index < 20; index += 1) {
-      queue.offer(request({ id: `a${index}` }))
-      queue.take(0)
+      queue.enqueue(request({ id: `a${index}` }))
+      queue.dequeue(0)
     }
-    queue.offer(request({ id: 'surge' }))
+    queue.enqueue(request({ id: 'surge' }))
     for (const id of ['d1', 'd2', 'd3', 'd4']) {
-      const shed = queue.offer(request({ id, customer: 'd' }))
+      const shed = queue.enqueue(request({ id, customer: 'd' }))
       assert.deepEqual(
         shed.map((victim) => victim.id),
         id === 'd4' ? ['surge'] : [],
--- a/packages/core/src/node/admission/__tests__/queueCapacity.test.ts
+++ b/packages/core/src/node/admission/__tests__/queueCapacity.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { createMeanRunTime } from '../createMeanRunTime.js'
 import { queueCapacity } from '../queueCapacity.js'
-import { reservedPlaces } from '../reservedPlaces.js'
+import { reservedSlots } from '../reservedSlots.js'
 
 describe('queueCapacity', () => {
   it('is what the places work off in the time given', () => {
@@ -46,8 +46,8 @@
 
 describe('reservedPlaces', () => {
   it('keeps none of a few places, nor of places without limit', () => {
-    assert.equal(reservedPlaces(10, 0.03), 0)
-    assert.equal(reservedPlaces(332, 0.03), 9)
-    assert.equal(reservedPlaces(Infinity, 0.03), 0)
+    assert.equal(reservedSlots(10, 0.03), 0)
+    assert.equal(reservedSlots(332, 0.03), 9)
+    assert.equal(reservedSlots(Infinity, 0.03), 0)
   })
 })
--- a/packages/core/src/node/admission/createRequestQueue.ts
+++ b/packages/core/src/node/admission/createRequestQueue.ts
@@ -19,11 +19,11 @@
 export interface RequestQueue<T extends WaitingRequest> {
   readonly size: number
   /** Takes a request in; returns those that are shed to keep the capacity. */
-  offer(request: T): T[]
+  enqueue(request: T): T[]
   /** Takes out the request that runs next. */
-  take(nowMs: number): T | undefined
+  dequeue(nowMs: number): T | undefined
   /** Takes out the next request of rank 0. */
-  takeUrgent(nowMs: number): T | undefined
+  dequeueUrgent(nowMs: number): T | undefined
   /** Requests of rank 0 that wait. */
   readonly urgentSize: number
   /** Takes a request out that is no longer wanted. */
@@ -122,9 +122,9 @@
   }
 
   return {
-    offer,
-    take,
-    takeUrgent,
+    enqueue: offer,
+    dequeue: take,
+    dequeueUrgent: takeUrgent,
     remove,
     countByRank,
     requests: () => waiting.values(),
--- a/packages/core/src/node/admission/reservedPlaces.ts
+++ b/packages/core/src/node/admission/reservedSlots.ts
@@ -2,6 +2,6 @@
  * Returns how many of a service's places only rank 0 may take (trunk
  * reservation), so that an urgent request need not wait for an ending one.
  */
-export function reservedPlaces(concurrency: number, share: number): number {
+export function reservedSlots(concurrency: number, share: number): number {
   return Number.isFinite(concurrency) ? Math.floor(concurrency * share) : 0
 }
--- a/packages/core/src/node/affinity/__tests__/affinityHint.test.ts
+++ b/packages/core/src/node/affinity/__tests__/affinityHint.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { readHint, signHint } from '../affinityHint.js'
+import { verifyHint, signHint } from '../affinityHint.js'
 
 const ownerArbitrary = fc.record({
   customer: fc.string(),
@@ -18,10 +18,10 @@
       targetArbitrary,
       (owner, other, target) => {
         const hint = signHint('secret-1', owner, target)
-        assert.equal(readHint('secret-1', owner, hint), target)
-        assert.equal(readHint('secret-2', owner, hint), undefined)
+        assert.equal(verifyHint('secret-1', owner, hint), target)
+        assert.equal(verifyHint('secret-2', owner, hint), undefined)
         fc.pre(JSON.stringify(owner) !== JSON.stringify(other))
-        assert.equal(readHint('secret-1', other, hint), undefined)
+        assert.equal(verifyHint('secret-1', other, hint), undefined)
       },
     )
     fc.assert(property, { seed: 11 })
@@ -32,11 +32,11 @@
     const hint = signHint('secret', owner, 'engine-1')
     const property = fc.property(fc.string(), (text) => {
       fc.pre(text !== hint)
-      assert.equal(readHint('secret', owner, text), undefined)
+      assert.equal(verifyHint('secret', owner, text), undefined)
     })
     fc.assert(property, { seed: 12 })
     const [, mac = ''] = hint.split('.')
     const moved = `${Buffer.from('engine-2').toString('base64url')}.${mac}`
-    assert.equal(readHint('secret', owner, moved), undefined)
+    assert.equal(verifyHint('secret', owner, moved), undefined)
   })
 })
--- a/packages/core/src/node/affinity/affinityHint.ts
+++ b/packages/core/src/node/affinity/affinityHint.ts
@@ -28,7 +28,7 @@
 }
 
 /** Returns the target a hint names, if the hint is genuine and the owner's own. */
-export function readHint(
+export function verifyHint(
   secret: string,
   owner: HintOwner,
   hint: string | undefined,
--- a/packages/core/src/node/claims/__tests__/claimTable.test.ts
+++ b/packages/core/src/node/claims/__tests__/claimTable.test.ts
@@ -3,7 +3,11 @@
 import fc from 'fast-check'
 import { type ClaimRecord, ClaimRecordKind } from '../claimRecord.js'
 import { ClaimPhase, createClaimTable } from '../claimTable.js'
-import { isKeyCovered, keyTime, MAX_KEY_SKEW_MS } from '../keyTime.js'
+import {
+  isKeyAfterHorizon,
+  parseKeyTime,
+  MAX_KEY_SKEW_MS,
+} from '../parseKeyTime.js'
 
 const SEED = 503
 
@@ -105,15 +109,15 @@
 describe('the time that a key carries', () => {
   it('is read from a UUID of version 7 and from a leading time', () => {
     const uuid = '017f22e2-79b0-7cc3-98c4-dc0c0c07398f'
-    assert.equal(keyTime(uuid), 1_645_557_742_000)
-    assert.equal(keyTime('1645557742000.sign-off-7'), 1_645_557_742_000)
-    assert.equal(keyTime('sign-off-7'), undefined)
-    assert.equal(keyTime('1645557742000.'), undefined)
+    assert.equal(parseKeyTime(uuid), 1_645_557_742_000)
+    assert.equal(parseKeyTime('1645557742000.sign-off-7'), 1_645_557_742_000)
+    assert.equal(parseKeyTime('sign-off-7'), undefined)
+    assert.equal(parseKeyTime('1645557742000.'), undefined)
   })
 
   it('is covered only beyond the horizon and the skew of clocks', () => {
-    assert.ok(isKeyCovered(1_000, -Infinity))
-    assert.ok(!isKeyCovered(1_000 + MAX_KEY_SKEW_MS, 1_000))
-    assert.ok(isKeyCovered(1_001 + MAX_KEY_SKEW_MS, 1_000))
+    assert.ok(isKeyAfterHorizon(1_000, -Infinity))
+    assert.ok(!isKeyAfterHorizon(1_000 + MAX_KEY_SKEW_MS, 1_000))
+    assert.ok(isKeyAfterHorizon(1_001 + MAX_KEY_SKEW_MS, 1_000))
   })
 })
--- a/packages/core/src/node/claims/claimTable.ts
+++ b/packages/core/src/node/claims/claimTable.ts
@@ -36,7 +36,7 @@
   /** Drops claims before `offset`, which the log has dropped. */
   trim(offset: number): void
   /** Forgets everything claimed up to `atMs`, after a gap in the log. */
-  forget(atMs: number): void
+  reset(atMs: number): void
   find(key: string): HeldClaim | undefined
   readonly size: number
   /** Claims recorded up to this time are not all known; -Infinity at first. */
@@ -95,7 +95,7 @@
         drop(key, claim)
       }
     },
-    forget(atMs) {
+    reset(atMs) {
       for (const [key, claim] of held) drop(key, claim)
       horizonMs = Math.max(horizonMs, atMs)
     },
--- a/packages/core/src/node/claims/keyTime.ts
+++ b/packages/core/src/node/claims/parseKeyTime.ts
@@ -9,7 +9,7 @@
  * Returns the time that an idempotency key carries, in milliseconds since the
  * epoch: a UUID of version 7 (RFC 9562), or `MILLISECONDS.anything`.
  */
-export function keyTime(key: string): number | undefined {
+export function parseKeyTime(key: string): number | undefined {
   const uuid = UUID_V7.exec(key)
   if (uuid) return Number.parseInt(`${uuid[1]}${uuid[2]}`, 16)
   const prefix = TIME_PREFIX.exec(key)
@@ -17,6 +17,9 @@
 }
 
 /** Whether an earlier claim of a key would still be known. */
-export function isKeyCovered(keyTimeMs: number, horizonMs: number): boolean {
+export function isKeyAfterHorizon(
+  keyTimeMs: number,
+  horizonMs: number,
+): boolean {
   return keyTimeMs > horizonMs + MAX_KEY_SKEW_MS
 }
--- a/packages/core/src/node/configuration/__tests__/patchTouched.test.ts
+++ b/packages/core/src/node/configuration/__tests__/patchConfiguration.test.ts
@@ -3,8 +3,8 @@
 import fc from 'fast-check'
 import { configurationSchema } from '../configurationSchema.js'
 import type { JsonOperation } from '../jsonOperation.js'
-import { patchTouched } from '../patchTouched.js'
-import { patchWhole } from '../patchWhole.js'
+import { patchConfiguration } from '../patchConfiguration.js'
+import { patchFullConfiguration } from '../patchFullConfiguration.js'
 
 const ids = fc.constantFrom('a', 'b', 'Bad', '__proto__', 'constructor')
 const target = fc.record({
@@ -72,8 +72,8 @@
       })
       let current = whole
       for (const patch of list) {
-        const expected = patchWhole(whole, patch)
-        const actual = patchTouched(current, patch)
+        const expected = patchFullConfiguration(whole, patch)
+        const actual = patchConfiguration(current, patch)
         assert.equal(actual.isOk(), expected.isOk(), JSON.stringify(patch))
         if (expected.isOk()) applied += 1
         whole = expected.unwrapOr(whole)
@@ -88,7 +88,7 @@
   it('leaves the configuration it started from as it was', () => {
     const start = configurationSchema.parse({ customers: { a: {} } })
     const before = structuredClone(start)
-    const patch = patchTouched(start, [
+    const patch = patchConfiguration(start, [
       { op: 'replace', path: '/customers/a/weight', value: 5 },
       { op: 'add', path: '/customers/b', value: {} },
     ])
@@ -105,7 +105,7 @@
       '/toString/polluted',
     ]
     for (const path of paths) {
-      const patch = patchTouched(configurationSchema.parse({}), [
+      const patch = patchConfiguration(configurationSchema.parse({}), [
         { op: 'add', path, value: 1 },
       ])
       assert.ok(patch.isErr(), path)
@@ -129,7 +129,7 @@
     ]
     for (const patch of patches) {
       const empty = configurationSchema.parse({})
-      assert.ok(patchTouched(empty, patch).isErr())
+      assert.ok(patchConfiguration(empty, patch).isErr())
     }
   })
 })
--- a/packages/core/src/node/configuration/applyLogPage.ts
+++ b/packages/core/src/node/configuration/applyLogPage.ts
@@ -2,7 +2,7 @@
   applyRecords,
   type ConfigurationStep,
   hashRecord,
-  type PlacedRecord,
+  type ConfigurationLogRecord,
 } from './applyRecords.js'
 import { ConfigurationProblemKind } from './configurationProblem.js'
 import type { ConfigurationState } from './configurationState.js'
@@ -14,7 +14,7 @@
   readonly firstOffset: number
   /** Offset of the next append. */
   readonly nextOffset: number
-  readonly records: readonly PlacedRecord[]
+  readonly records: readonly ConfigurationLogRecord[]
 }
 
 /**
@@ -68,10 +68,10 @@
 }
 
 function contiguous(
-  records: readonly PlacedRecord[],
+  records: readonly ConfigurationLogRecord[],
   from: number,
-): PlacedRecord[] {
-  const found: PlacedRecord[] = []
+): ConfigurationLogRecord[] {
+  const found: ConfigurationLogRecord[] = []
   for (const record of records) {
     if (record.offset < from) continue
     if (record.offset !== from + found.length) break
--- a/packages/core/src/node/configuration/applyRecords.ts
+++ b/packages/core/src/node/configuration/applyRecords.ts
@@ -4,13 +4,13 @@
 import { ConfigurationProblemKind } from './configurationProblem.js'
 import type { Configuration } from './configurationSchema.js'
 import type { ConfigurationState } from './configurationState.js'
-import { patchTouched } from './patchTouched.js'
+import { patchConfiguration } from './patchConfiguration.js'
 import { type PatchOutcome, PatchOutcomeKind } from './patchOutcome.js'
 import { type PatchRecord, patchRecordSchema } from './patchRecord.js'
 import { schemaOf, schemaRecordSchema } from './schemaRecord.js'
 
 /** A record with its place in the log. */
-export interface PlacedRecord {
+export interface ConfigurationLogRecord {
   readonly offset: number
   readonly value: unknown
 }
@@ -61,7 +61,7 @@
     const reason = `the patch is against version ${record.baseVersion}, but version ${version} is in force`
     return { outcome: { ...base, kind: PatchOutcomeKind.Conflict, reason } }
   }
-  const patched = patchTouched(state.configuration, record.operations)
+  const patched = patchConfiguration(state.configuration, record.operations)
   if (patched.isErr()) return invalid(patched.error)
   const { configuration } = state
   const refused = checkChange(configuration, patched.value, record.operator)
@@ -104,7 +104,7 @@
   }
 }
 
-function applyRecord(progress: Progress, record: PlacedRecord): void {
+function applyRecord(progress: Progress, record: ConfigurationLogRecord): void {
   const { offset, value } = record
   forgetOldOutcomes(progress, offset)
   const patch = patchRecordSchema.safeParse(value)
@@ -124,7 +124,7 @@
 /** Applies records in log order; stops before one that needs a newer release. */
 export function applyRecords(
   state: ConfigurationState,
-  records: readonly PlacedRecord[],
+  records: readonly ConfigurationLogRecord[],
 ): ConfigurationStep {
   const progress: Progress = {
     state,
--- a/packages/core/src/node/configuration/digestPeers.ts
+++ b/packages/core/src/node/configuration/chooseDigestPeers.ts
@@ -5,7 +5,7 @@
 } from '../constants.js'
 import { hash32 } from '../hash/hash32.js'
 import { rendezvousOrder } from '../routing/rendezvousOrder.js'
-import { type RouterPlace, tailerOrder } from './tailers.js'
+import { type RouterLocation, tailerOrder } from './tailers.js'
 
 /**
  * Chooses the peers that a router exchanges heartbeats with.
@@ -13,9 +13,9 @@
  * A small fleet is fully meshed. In a large one each router calls two parents
  * in its data centre's tree, whose first level also calls other data centres.
  */
-export function digestPeers(
-  self: RouterPlace,
-  routers: readonly RouterPlace[],
+export function chooseDigestPeers(
+  self: RouterLocation,
+  routers: readonly RouterLocation[],
 ): string[] {
   const others = routers.filter(({ id }) => id !== self.id)
   if (others.length < FULL_MESH_ROUTERS) return others.map(({ id }) => id)
@@ -32,10 +32,10 @@
 }
 
 function remotePeers(
-  self: RouterPlace,
-  others: readonly RouterPlace[],
+  self: RouterLocation,
+  others: readonly RouterLocation[],
 ): string[] {
-  const far = new Map<string, RouterPlace[]>()
+  const far = new Map<string, RouterLocation[]>()
   for (const router of others) {
     if (router.dataCentre === self.dataCentre) continue
     const list = far.get(router.dataCentre)
--- a/packages/core/src/node/configuration/patchTouched.ts
+++ b/packages/core/src/node/configuration/patchConfiguration.ts
@@ -4,7 +4,10 @@
 import { patchInPlace } from './patchInPlace.js'
 import { findTouched, type TouchedParts } from './findTouched.js'
 import type { JsonOperation } from './jsonOperation.js'
-import { describeIssues, patchWhole } from './patchWhole.js'
+import {
+  describeIssues,
+  patchFullConfiguration,
+} from './patchFullConfiguration.js'
 
 type Document = Record<string, unknown>
 type Entries = Record<string, unknown>
@@ -78,12 +81,12 @@
 }
 
 /** Patches a configuration, copying and validating only what a patch touches. */
-export function patchTouched(
+export function patchConfiguration(
   configuration: Configuration,
   operations: readonly JsonOperation[],
 ): Result<Configuration, string> {
   const touched = findTouched(operations)
-  if (!touched) return patchWhole(configuration, operations)
+  if (!touched) return patchFullConfiguration(configuration, operations)
   const draft = copyTouched(configuration, touched)
   const fault = patchInPlace(draft, operations) ?? checkTouched(draft, touched)
   if (fault !== undefined) return err(fault)
--- a/packages/core/src/node/configuration/patchWhole.ts
+++ b/packages/core/src/node/configuration/patchFullConfiguration.ts
@@ -20,7 +20,7 @@
 }
 
 /** Patches a copy of the whole document and validates all of it. */
-export function patchWhole(
+export function patchFullConfiguration(
   configuration: Configuration,
   operations: readonly JsonOperation[],
 ): Result<Configuration, string> {
--- a/packages/core/src/node/configuration/tailers.ts
+++ b/packages/core/src/node/configuration/tailers.ts
@@ -2,20 +2,20 @@
 import { rendezvousOrder } from '../routing/rendezvousOrder.js'
 
 /** A live router, as the choice of log readers sees it. */
-export interface RouterPlace {
+export interface RouterLocation {
   readonly id: string
   readonly dataCentre: string
 }
 
 /** A peer that says whether it reads the log now. */
-export interface ReadingPeer extends RouterPlace {
+export interface PeerReaderStatus extends RouterLocation {
   readonly readsLog: boolean
 }
 
 /** Orders a data centre's routers; the first ones read the log. */
 export function tailerOrder(
   dataCentre: string,
-  routers: readonly RouterPlace[],
+  routers: readonly RouterLocation[],
 ): string[] {
   const here = routers.filter((router) => router.dataCentre === dataCentre)
   const weighted = here.map(({ id }) => ({ id, weight: 1 }))
@@ -24,8 +24,8 @@
 
 /** Decides whether a router reads the log, or follows its peers. */
 export function shouldTail(
-  self: RouterPlace,
-  livePeers: readonly ReadingPeer[],
+  self: RouterLocation,
+  livePeers: readonly PeerReaderStatus[],
 ): boolean {
   if (!livePeers.some((peer) => peer.readsLog)) return true
   const order = tailerOrder(self.dataCentre, [self, ...livePeers])
--- a/packages/core/src/node/health/__tests__/createServiceHealth.test.ts
+++ b/packages/core/src/node/health/__tests__/createServiceHealth.test.ts
@@ -22,7 +22,7 @@
   const fail = (target: string, nowMs: number, times = 3) => {
     let change = HealthChange.None
     for (let index = 0; index < times; index += 1)
-      change = health.record(target, Failure, nowMs)
+      change = health.recordOutcome(target, Failure, nowMs)
     return change
   }
   return { health, fail }
@@ -32,7 +32,7 @@
   it('ejects after failures in a row, not after a success between', () => {
     const { health, fail } = setUp()
     fail('a', 0, 2)
-    health.record('a', Success, 0)
+    health.recordOutcome('a', Success, 0)
     fail('a', 0, 2)
     assert.ok(health.isEligible('a', true, 0))
     assert.equal(fail('a', 0, 1), HealthChange.Ejected)
@@ -44,26 +44,29 @@
     fail('a', 0)
     assert.ok(!health.isEligible('a', false, 100))
     assert.ok(health.isEligible('a', true, 100))
-    assert.ok(health.started('a', 100))
+    assert.ok(health.recordStart('a', 100))
     assert.ok(!health.isEligible('a', true, 101))
-    assert.ok(!health.started('a', 101))
-    assert.equal(health.record('a', Success, 110, true), HealthChange.Recovered)
+    assert.ok(!health.recordStart('a', 101))
+    assert.equal(
+      health.recordOutcome('a', Success, 110, true),
+      HealthChange.Recovered,
+    )
     assert.ok(health.isEligible('a', false, 110))
   })
 
   it('asks again when the probe told nothing', () => {
     const { health, fail } = setUp()
     fail('a', 0)
-    health.started('a', 100)
-    health.record('a', Unknown, 120, true)
+    health.recordStart('a', 100)
+    health.recordOutcome('a', Unknown, 120, true)
     assert.ok(health.isEligible('a', true, 120))
   })
 
   it('is not closed by the answer to a request from before the ejection', () => {
     const { health, fail } = setUp()
     fail('a', 0)
-    health.started('a', 140)
-    assert.equal(health.record('a', Success, 150), HealthChange.None)
+    health.recordStart('a', 140)
+    assert.equal(health.recordOutcome('a', Success, 150), HealthChange.None)
     assert.equal(health.circuit('a', 150), CircuitState.HalfOpen)
   })
 
@@ -76,13 +79,13 @@
       const from = nowMs
       while (health.circuit('a', nowMs) === CircuitState.Open) nowMs += 10
       holds.push(nowMs - from)
-      health.started('a', nowMs)
-      health.record('a', Failure, nowMs, true)
+      health.recordStart('a', nowMs)
+      health.recordOutcome('a', Failure, nowMs, true)
     }
     assert.deepEqual(holds, [100, 200, 400, 800, 1_000, 1_000])
     nowMs += 1_000
-    health.started('a', nowMs)
-    health.record('a', Success, nowMs, true)
+    health.recordStart('a', nowMs)
+    health.recordOutcome('a', Success, nowMs, true)
     fail('a', nowMs + 1_001)
     assert.equal(health.circuit('a', nowMs + 1_100), CircuitState.Open)
     assert.equal(health.circuit('a', nowMs + 1_101), CircuitState.HalfOpen)
@@ -93,9 +96,9 @@
     let ejectedAt = -1
     for (let index = 0; index < 60 && ejectedAt < 0; index += 1) {
       for (const target of ['b', 'c', 'd'])
-        health.record(target, Success, index)
+        health.recordOutcome(target, Success, index)
       const outcome = index % 2 === 0 ? Failure : Success
-      if (health.record('a', outcome, index) === HealthChange.Ejected)
+      if (health.recordOutcome('a', outcome, index) === HealthChange.Ejected)
         ejectedAt = index
     }
     assert.ok(ejectedAt >= OPTIONS.rateOutcomes - 1)
@@ -107,13 +110,15 @@
     const changes = new Set<HealthChange>()
     for (let index = 0; index < 100; index += 1)
       for (const target of TARGETS)
-        changes.add(full.record(target, index % 4 ? Refused : Success, index))
+        changes.add(
+          full.recordOutcome(target, index % 4 ? Refused : Success, index),
+        )
     assert.deepEqual([...changes], [HealthChange.None])
     const { health } = setUp()
     // The peers' outcomes are judged once there are enough of them.
     for (let index = 0; index <= OPTIONS.rateOutcomes; index += 1)
       for (const target of TARGETS)
-        health.record(target, target === 'a' ? Refused : Success, index)
+        health.recordOutcome(target, target === 'a' ? Refused : Success, index)
     assert.ok(!health.isEligible('a', true, OPTIONS.rateOutcomes))
   })
 
@@ -144,10 +149,10 @@
           if (health.isEligible(target, idempotent, nowMs)) {
             const half = health.circuit(target, nowMs) === CircuitState.HalfOpen
             assert.ok(!half || idempotent)
-            probing = health.started(target, nowMs)
+            probing = health.recordStart(target, nowMs)
             assert.ok(!half || !health.isEligible(target, true, nowMs))
           }
-          health.record(target, outcome, nowMs, probing)
+          health.recordOutcome(target, outcome, nowMs, probing)
           const ejected = TARGETS.filter(
             (id) => health.circuit(id, nowMs) !== CircuitState.Closed,
           )
--- a/packages/core/src/node/health/createServiceHealth.ts
+++ b/packages/core/src/node/health/createServiceHealth.ts
@@ -19,9 +19,9 @@
   /** Whether a request may go to a target now. */
   isEligible(target: string, idempotent: boolean, nowMs: number): boolean
   /** Notes that a request is sent; returns whether it is the probe. */
-  started(target: string, nowMs: number): boolean
+  recordStart(target: string, nowMs: number): boolean
   /** Notes how a request ended. */
-  record(
+  recordOutcome(
     target: string,
     outcome: TargetOutcome,
     nowMs: number,
@@ -112,7 +112,7 @@
           return idempotent && !state.probing
       }
     },
-    started(target, nowMs) {
+    recordStart(target, nowMs) {
       const state = states.get(target)
       if (!state || circuit(target, nowMs) !== CircuitState.HalfOpen)
         return false
@@ -120,7 +120,7 @@
       state.probing = true
       return isProbe
     },
-    record(target, outcome, nowMs, isProbe = false) {
+    recordOutcome(target, outcome, nowMs, isProbe = false) {
       const state = states.get(target)
       if (!state) return HealthChange.None
       // Work from before the ejection tells nothing of a recovery.
--- a/packages/core/src/node/leases/heldLease.ts
+++ b/packages/core/src/node/leases/heldLease.ts
@@ -11,7 +11,7 @@
 }
 
 /** A record that the holder has sent. */
-export interface SentLease {
+export interface LeaseRequest {
   readonly name: string
   readonly requestId: string
   readonly ttlMs: number
@@ -22,7 +22,7 @@
 /** Returns the lease that a sent record brought; time counts from the sending. */
 export function findHeldLease(
   table: LeaseTable,
-  sent: SentLease,
+  sent: LeaseRequest,
 ): HeldLease | undefined {
   const lease = table.leases.get(sent.name)
   if (lease?.requestId !== sent.requestId) return undefined
--- a/packages/core/src/node/limits/__tests__/createRateWindow.test.ts
+++ b/packages/core/src/node/limits/__tests__/createRateWindow.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { createRateWindow, rateLimit } from '../createRateWindow.js'
+import { createRateWindow, toRateLimit } from '../createRateWindow.js'
 
 const pauses = fc.array(fc.nat(400), { maxLength: 200 })
 
@@ -36,7 +36,7 @@
 describe('rateLimit', () => {
   it('keeps the rate with a whole count and a window of a second or more', () => {
     for (const rate of [0.25, 0.5, 1, 2.5, 7, 1_000.5]) {
-      const { count, windowMs } = rateLimit(rate)
+      const { count, windowMs } = toRateLimit(rate)
       assert.ok(Number.isInteger(count))
       assert.ok(windowMs >= 1_000)
       assert.ok(Math.abs((count * 1_000) / windowMs - rate) < 1e-9)
--- a/packages/core/src/node/limits/__tests__/createRetryBudget.test.ts
+++ b/packages/core/src/node/limits/__tests__/createRetryBudget.test.ts
@@ -19,8 +19,8 @@
         for (const isFirstTry of events) {
           if (isFirstTry) {
             firstTries += 1
-            budget.firstTry()
-          } else if (budget.takeRetry()) retries += 1
+            budget.recordFirstAttempt()
+          } else if (budget.consumeRetry()) retries += 1
           const bound = Math.max(reserve, RATIO * firstTries)
           assert.ok(retries <= bound + 1e-6)
         }
@@ -31,8 +31,8 @@
 
   it('saves up no more than the burst', () => {
     const budget = createRetryBudget({ ratio: RATIO, burst: 3, reserve: 0 })
-    for (let index = 0; index < 1_000; index += 1) budget.firstTry()
-    const given = Array.from({ length: 10 }, () => budget.takeRetry())
+    for (let index = 0; index < 1_000; index += 1) budget.recordFirstAttempt()
+    const given = Array.from({ length: 10 }, () => budget.consumeRetry())
     assert.equal(given.filter(Boolean).length, 3)
   })
 })
--- a/packages/core/src/node/limits/createRateWindow.ts
+++ b/packages/core/src/node/limits/createRateWindow.ts
@@ -8,7 +8,7 @@
 }
 
 /** Writes a rate as a whole count in the shortest window of a second or more. */
-export function rateLimit(ratePerS: number): RateLimit {
+export function toRateLimit(ratePerS: number): RateLimit {
   const count = Math.ceil(ratePerS)
   return { count, windowMs: (count * MS_PER_S) / ratePerS }
 }
--- a/packages/core/src/node/limits/createRetryBudget.ts
+++ b/packages/core/src/node/limits/createRetryBudget.ts
@@ -10,9 +10,9 @@
 
 /** Keeps retries within a ratio of first tries. */
 export interface RetryBudget {
-  firstTry(): void
+  recordFirstAttempt(): void
   /** Takes one retry out; false when the budget is spent. */
-  takeRetry(): boolean
+  consumeRetry(): boolean
 }
 
 /**
@@ -25,10 +25,10 @@
   let tokens = 0
   let reserveLeft = reserve
   return {
-    firstTry() {
+    recordFirstAttempt() {
       tokens = Math.min(burst, tokens + ratio)
     },
-    takeRetry() {
+    consumeRetry() {
       if (tokens >= 1) {
         tokens -= 1
         // A retry that was earned leaves that much less to the reserve.
--- a/packages/core/src/node/membership/__tests__/membership.test.ts
+++ b/packages/core/src/node/membership/__tests__/membership.test.ts
@@ -7,18 +7,18 @@
 import { type VmEntry, VmRole } from '../vmEntry.js'
 import {
   applyVmList,
-  createVmView,
+  createMembershipView,
   currentVms,
-  hearLeaving,
-  leavingAges,
-  type VmView,
-} from '../vmView.js'
+  applyReportedDepartures,
+  departureAges,
+  type MembershipView,
+} from '../membershipView.js'
 
 function target(id: string, state = MemberState.Live): VmEntry {
   return { id, role: VmRole.Target, address: 'x:1', dataCentre: 'a', state }
 }
 
-function stateOf(view: VmView, id: string, nowMs: number) {
+function stateOf(view: MembershipView, id: string, nowMs: number) {
   return currentVms(view, nowMs).find((vm) => vm.id === id)?.state
 }
 
@@ -26,7 +26,7 @@
 
 describe('the view of the VMs', () => {
   it('keeps the last view when over half vanish at once, and says so', () => {
-    const before = applyVmList(createVmView(), six, 0)
+    const before = applyVmList(createMembershipView(), six, 0)
     const empty = applyVmList(before, [], 1_000)
     assert.equal(currentVms(empty, 1_000).length, 6)
     assert.equal(empty.held.length, 6)
@@ -37,15 +37,15 @@
   })
 
   it('gives no new work to a target that vanished', () => {
-    const before = applyVmList(createVmView(), six, 0)
+    const before = applyVmList(createMembershipView(), six, 0)
     const view = applyVmList(before, six.slice(1), 1_000)
     assert.equal(stateOf(view, 'a', 1_000), MemberState.Leaving)
-    assert.equal(leavingAges(view, 1_000).a, 0)
+    assert.equal(departureAges(view, 1_000).a, 0)
   })
 
   it('holds a target that flaps longer each time', () => {
     const gone = [target('a', MemberState.Leaving), ...six.slice(1)]
-    let view = applyVmList(createVmView(), six, 0)
+    let view = applyVmList(createMembershipView(), six, 0)
     for (const [round, holdMs] of [3_000, 6_000, 12_000].entries()) {
       const atMs = round * 20_000
       view = applyVmList(view, gone, atMs)
@@ -58,18 +58,18 @@
   })
 
   it('shows a target that no list names live again after it drained', () => {
-    const view = hearLeaving(createVmView(), { x: 0 }, 0)
+    const view = applyReportedDepartures(createMembershipView(), { x: 0 }, 0)
     assert.equal(stateOf(view, 'x', LEAVING_TTL_MS), MemberState.Leaving)
-    const later = hearLeaving(view, {}, LEAVING_TTL_MS + 1)
+    const later = applyReportedDepartures(view, {}, LEAVING_TTL_MS + 1)
     assert.equal(stateOf(later, 'x', LEAVING_TTL_MS + 1), MemberState.Live)
   })
 
   it('does not let a departure circulate between routers for ever', () => {
-    let left = applyVmList(createVmView(), six, 0)
-    let right = hearLeaving(left, { a: 0 }, 0)
+    let left = applyVmList(createMembershipView(), six, 0)
+    let right = applyReportedDepartures(left, { a: 0 }, 0)
     for (let nowMs = 500; nowMs <= 2 * LEAVING_TTL_MS; nowMs += 500) {
-      left = hearLeaving(left, leavingAges(right, nowMs), nowMs)
-      right = hearLeaving(right, leavingAges(left, nowMs), nowMs)
+      left = applyReportedDepartures(left, departureAges(right, nowMs), nowMs)
+      right = applyReportedDepartures(right, departureAges(left, nowMs), nowMs)
     }
     assert.equal(stateOf(left, 'a', 2 * LEAVING_TTL_MS), MemberState.Live)
     assert.equal(stateOf(right, 'a', 2 * LEAVING_TTL_MS), MemberState.Live)
@@ -83,7 +83,7 @@
       )
     const lists = fc.array(fc.array(entry, { maxLength: 4 }), { maxLength: 12 })
     const property = fc.property(lists, (all) => {
-      let view = createVmView()
+      let view = createMembershipView()
       for (const [index, list] of all.entries()) {
         view = applyVmList(view, list, index * 700)
         for (const vm of list) {
@@ -99,21 +99,21 @@
 describe('createPeerLiveness', () => {
   it('takes the newest start of a router and reports two at once', () => {
     const liveness = createPeerLiveness<string>(2_000)
-    liveness.hear('r', '2', 'new', 0)
-    liveness.hear('r', '1', 'old', 100)
-    assert.equal(liveness.live(100)[0]?.heartbeat, 'new')
-    assert.deepEqual(liveness.duplicates(100), ['r'])
-    liveness.hear('r', '2', 'new', 2_500)
-    assert.deepEqual(liveness.duplicates(2_500), [])
+    liveness.recordHeartbeat('r', '2', 'new', 0)
+    liveness.recordHeartbeat('r', '1', 'old', 100)
+    assert.equal(liveness.livePeers(100)[0]?.heartbeat, 'new')
+    assert.deepEqual(liveness.findDuplicates(100), ['r'])
+    liveness.recordHeartbeat('r', '2', 'new', 2_500)
+    assert.deepEqual(liveness.findDuplicates(2_500), [])
   })
 
   it('does not take its own pause for the silence of its peers', () => {
     const liveness = createPeerLiveness<string>(2_000)
     liveness.tick(0)
-    liveness.hear('r', '1', 'x', 0)
+    liveness.recordHeartbeat('r', '1', 'x', 0)
     liveness.tick(60_000)
-    assert.equal(liveness.live(60_000).length, 1)
+    assert.equal(liveness.livePeers(60_000).length, 1)
     for (let nowMs = 60_500; nowMs <= 63_000; nowMs += 500) liveness.tick(nowMs)
-    assert.equal(liveness.live(63_000).length, 0)
+    assert.equal(liveness.livePeers(63_000).length, 0)
   })
 })
--- a/packages/core/src/node/membership/createPeerLiveness.ts
+++ b/packages/core/src/node/membership/createPeerLiveness.ts
@@ -11,13 +11,18 @@
 /** Decides which routers are alive, by the own monotonic clock alone. */
 export interface PeerLiveness<T> {
   /** Takes in a heartbeat of one start of a router. */
-  hear(id: string, incarnation: string, heartbeat: T, nowMs: number): void
+  recordHeartbeat(
+    id: string,
+    incarnation: string,
+    heartbeat: T,
+    nowMs: number,
+  ): void
   /** Call often: the time of a pause of this process is nobody's silence. */
   tick(nowMs: number): void
   /** Returns the newest live start of each router. */
-  live(nowMs: number): LivePeer<T>[]
+  livePeers(nowMs: number): LivePeer<T>[]
   /** Returns the routers of which two starts are heard at once. */
-  duplicates(nowMs: number): string[]
+  findDuplicates(nowMs: number): string[]
 }
 
 interface Heard<T> {
@@ -51,7 +56,7 @@
   }
 
   return {
-    hear(id, incarnation, heartbeat, nowMs) {
+    recordHeartbeat(id, incarnation, heartbeat, nowMs) {
       const starts = routers.get(id) ?? new Map<string, Heard<T>>()
       starts.set(incarnation, { incarnation, heartbeat, heardAtMs: nowMs })
       routers.set(id, starts)
@@ -62,7 +67,7 @@
       if (passedMs > PAUSE_MS) forgivePause(passedMs)
       forgetSilent(nowMs)
     },
-    live(nowMs) {
+    livePeers(nowMs) {
       const found: LivePeer<T>[] = []
       for (const [id, starts] of routers) {
         const [newest] = liveStarts(starts, nowMs)
@@ -72,7 +77,7 @@
       }
       return found
     },
-    duplicates: (nowMs) =>
+    findDuplicates: (nowMs) =>
       [...routers]
         .filter(([, starts]) => liveStarts(starts, nowMs).length > 1)
         .map(([id]) => id),
--- a/packages/core/src/node/membership/vmView.ts
+++ b/packages/core/src/node/membership/membershipView.ts
@@ -19,7 +19,7 @@
 }
 
 /** What a router knows of the VMs, from the list and from its peers. */
-export interface VmView {
+export interface MembershipView {
   readonly listed: ReadonlyMap<string, VmEntry>
   /** Targets that were listed and are no longer. */
   readonly departed: ReadonlyMap<string, VmEntry>
@@ -33,7 +33,7 @@
 }
 
 /** Returns the view before the first list. */
-export function createVmView(): VmView {
+export function createMembershipView(): MembershipView {
   return {
     listed: new Map(),
     departed: new Map(),
@@ -54,7 +54,10 @@
   return entries
 }
 
-function findHeld(view: VmView, next: ReadonlyMap<string, VmEntry>): VmEntry[] {
+function findHeld(
+  view: MembershipView,
+  next: ReadonlyMap<string, VmEntry>,
+): VmEntry[] {
   const held: VmEntry[] = []
   for (const role of Object.values(VmRole)) {
     const known = [...view.listed.values()].filter((vm) => vm.role === role)
@@ -64,12 +67,12 @@
   return held
 }
 
-function wasLive(view: VmView, id: string): boolean {
+function wasLive(view: MembershipView, id: string): boolean {
   return view.listed.get(id)?.state === MemberState.Live
 }
 
 function countFlaps(
-  view: VmView,
+  view: MembershipView,
   next: ReadonlyMap<string, VmEntry>,
   nowMs: number,
 ): Map<string, Flaps> {
@@ -88,7 +91,7 @@
 }
 
 function findDeparted(
-  view: VmView,
+  view: MembershipView,
   next: ReadonlyMap<string, VmEntry>,
 ): Map<string, VmEntry> {
   const departed = new Map<string, VmEntry>()
@@ -102,7 +105,7 @@
 }
 
 function findLeft(
-  view: VmView,
+  view: MembershipView,
   next: ReadonlyMap<string, VmEntry>,
   departed: ReadonlyMap<string, VmEntry>,
   nowMs: number,
@@ -117,10 +120,10 @@
 
 /** Takes in a list; VMs of a role of which over half vanish at once are held. */
 export function applyVmList(
-  view: VmView,
+  view: MembershipView,
   list: readonly VmEntry[],
   nowMs: number,
-): VmView {
+): MembershipView {
   const next = byId(list)
   const held = findHeld(view, next)
   for (const vm of held) next.set(vm.id, vm)
@@ -136,11 +139,11 @@
 }
 
 /** Takes in that some router saw VMs leave, `ages` milliseconds ago by id. */
-export function hearLeaving(
-  view: VmView,
+export function applyReportedDepartures(
+  view: MembershipView,
   ages: Readonly<Record<string, number>>,
   nowMs: number,
-): VmView {
+): MembershipView {
   const heardLeaving = new Map(view.heardLeaving)
   for (const [id, ageMs] of Object.entries(ages)) {
     if (ageMs > LEAVING_TTL_MS) continue
@@ -156,8 +159,8 @@
 }
 
 /** Returns the VMs that left or are leaving, with the age of the knowledge. */
-export function leavingAges(
-  view: VmView,
+export function departureAges(
+  view: MembershipView,
   nowMs: number,
 ): Record<string, number> {
   const ages = new Map<string, number>()
@@ -171,7 +174,7 @@
 }
 
 /** Returns the VMs; one that any source calls leaving is leaving. */
-export function currentVms(view: VmView, nowMs: number): VmEntry[] {
+export function currentVms(view: MembershipView, nowMs: number): VmEntry[] {
   const vms: VmEntry[] = []
   const isHeard = (id: string): boolean =>
     nowMs - (view.heardLeaving.get(id) ?? -Infinity) <= LEAVING_TTL_MS
--- a/packages/core/src/node/orders/__tests__/planOrders.test.ts
+++ b/packages/core/src/node/orders/__tests__/planOrders.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { DRAIN_SPREAD_MS } from '../drainEvidence.js'
+import { DRAIN_PROPAGATION_MS } from '../drainStatus.js'
 import { createLoadBudget, refillBudget } from '../loadBudget.js'
 import {
   OrderActionKind,
-  type OrderedTarget,
+  type ManagedTarget,
   planOrders,
 } from '../planOrders.js'
 import { engineStateSchema } from '../engineState.js'
@@ -13,9 +13,9 @@
 const second = engineStateSchema.parse({ model: 'second' })
 const lease = { token: 7, validUntilMs: 100_000 }
 const empty = (atMs: number) => ({ inFlight: 0, atMs })
-const afterMs = DRAIN_SPREAD_MS + 10
+const afterMs = DRAIN_PROPAGATION_MS + 10
 
-function kinds(target: Partial<OrderedTarget>, loads = 10, nowMs = 0) {
+function kinds(target: Partial<ManagedTarget>, loads = 10, nowMs = 0) {
   const whole = {
     id: 'engine-1',
     service: 'briefing',
@@ -39,7 +39,7 @@
       { sinceMs: 0, routers },
       { sinceMs: 0, routers: [...routers, busy], target },
       { sinceMs: 0, routers, target: busy },
-      { sinceMs: 0, routers, target: empty(DRAIN_SPREAD_MS - 1) },
+      { sinceMs: 0, routers, target: empty(DRAIN_PROPAGATION_MS - 1) },
       { sinceMs: 0, routers: [empty(10)], target },
     ]
     for (const drain of drains) assert.deepEqual(kinds({ drain }), [Drain])
--- a/packages/core/src/node/orders/engineState.ts
+++ b/packages/core/src/node/orders/engineState.ts
@@ -22,7 +22,7 @@
 export type EngineState = z.infer<typeof engineStateSchema>
 
 /** Returns whether two states are the same. */
-export function sameState(one: EngineState, other: EngineState): boolean {
+export function isSameState(one: EngineState, other: EngineState): boolean {
   const isSame =
     one.model === other.model &&
     one.modelVersion === other.modelVersion &&
--- a/packages/core/src/node/orders/planOrders.ts
+++ b/packages/core/src/node/orders/planOrders.ts
@@ -1,8 +1,8 @@
 import type { HeldLease } from '../leases/heldLease.js'
-import { type DrainEvidence, isDrained } from './drainEvidence.js'
+import { type DrainStatus, isDrained } from './drainStatus.js'
 import {
   isDestructive,
-  sameState,
+  isSameState,
   type EngineState,
   weightLoads,
 } from './engineState.js'
@@ -18,13 +18,13 @@
 }
 
 /** A target whose state is part of the configuration. */
-export interface OrderedTarget {
+export interface ManagedTarget {
   readonly id: string
   readonly service: string
   readonly desired: EngineState
   /** What it said last; undefined when it does not answer. */
   readonly observed?: EngineState
-  readonly drain: DrainEvidence
+  readonly drain: DrainStatus
   /** When all routers use it again after an order; undefined without one. */
   readonly returnsAtMs?: number
   /** Whether it had the desired state and lost it, as by a late order. */
@@ -33,7 +33,7 @@
 
 /** What the plan looks at. */
 export interface OrderInput {
-  readonly targets: readonly OrderedTarget[]
+  readonly targets: readonly ManagedTarget[]
   readonly lease?: HeldLease
   /** Loads that the weight store allows now. */
   readonly loads: number
@@ -80,8 +80,8 @@
   }
 }
 
-function drainingFirst(targets: readonly OrderedTarget[]): OrderedTarget[] {
-  const isDraining = ({ drain }: OrderedTarget): number =>
+function drainingFirst(targets: readonly ManagedTarget[]): ManagedTarget[] {
+  const isDraining = ({ drain }: ManagedTarget): number =>
     drain.sinceMs === undefined ? 1 : 0
   return [...targets].sort((a, b) => isDraining(a) - isDraining(b))
 }
@@ -95,7 +95,7 @@
   const places = createDrainPlaces(input)
   for (const target of drainingFirst(input.targets)) {
     const { id, service, desired, observed, drain, strayed } = target
-    if (!observed || sameState(observed, desired)) continue
+    if (!observed || isSameState(observed, desired)) continue
     const loads = weightLoads(observed, desired)
     const { token } = lease
     const step = { target: id, loads, state: desired, token }
--- a/packages/core/src/node/patches/__tests__/rebasePatch.test.ts
+++ b/packages/core/src/node/patches/__tests__/checkRebase.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
 import { applyOperations } from '../applyOperations.js'
-import { offerRebase } from '../rebasePatch.js'
+import { checkRebase } from '../checkRebase.js'
 
 const names = fc.constantFrom('a', 'b', 'c', 'a/b', 'a~b')
 const pointer = fc
@@ -47,7 +47,7 @@
     let offered = 0
     const property = fc.property(patch, patch, (mine, theirs) => {
       if (run(mine) === undefined || run(theirs) === undefined) return
-      if (!offerRebase(mine, theirs).possible) return
+      if (!checkRebase(mine, theirs).possible) return
       offered += 1
       assert.deepEqual(run(theirs, mine), run(mine, theirs))
       assert.notEqual(run(theirs, mine), undefined)
@@ -62,7 +62,7 @@
       { op: 'add', path: '/rules/one', value: { rank: 1 } },
     ]
     const theirs = [{ op: 'remove', path: '/customers/corrib' }]
-    assert.deepEqual(offerRebase(mine, theirs), {
+    assert.deepEqual(checkRebase(mine, theirs), {
       possible: false,
       clashes: ['/customers/corrib/weight'],
     })
@@ -71,6 +71,6 @@
   it('does not take a longer name for a path within', () => {
     const mine = [{ op: 'remove', path: '/customers/corrib' }]
     const theirs = [{ op: 'remove', path: '/customers/corrib-2' }]
-    assert.ok(offerRebase(mine, theirs).possible)
+    assert.ok(checkRebase(mine, theirs).possible)
   })
 })
--- a/packages/core/src/node/patches/rebasePatch.ts
+++ b/packages/core/src/node/patches/checkRebase.ts
@@ -1,7 +1,7 @@
 import { type PathOperation, patchPaths, pathsOverlap } from './patchPaths.js'
 
 /** Whether a patch that lost a race still means the same on the newer version. */
-export interface RebaseOffer {
+export interface RebaseCheck {
   readonly possible: boolean
   /** Paths of the patch that the newer version has changed as well. */
   readonly clashes: readonly string[]
@@ -12,10 +12,10 @@
  * came first. Without overlapping paths both orders give the same document,
  * as the configuration holds no arrays.
  */
-export function offerRebase(
+export function checkRebase(
   mine: readonly PathOperation[],
   theirs: readonly PathOperation[],
-): RebaseOffer {
+): RebaseCheck {
   const changed = patchPaths(theirs)
   const clashes = patchPaths(mine).filter((path) =>
     changed.some((other) => pathsOverlap(path, other)),
--- a/packages/core/src/node/routing/__tests__/grants.test.ts
+++ b/packages/core/src/node/routing/__tests__/grants.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { createGrantHolder } from '../createGrantHolder.js'
-import { createGroupHome } from '../createGroupHome.js'
-import { createLevelShares } from '../createLevelShares.js'
+import { createCreditPool } from '../createCreditPool.js'
+import { createGroupCoordinator } from '../createGroupCoordinator.js'
+import { createFallbackQuota } from '../createFallbackQuota.js'
 import { GrantStatus } from '../grantStatus.js'
 import { groupTargets } from '../targetGroup.js'
 
@@ -21,7 +21,7 @@
 }
 
 function holderOf(group: ReturnType<typeof groupOf>, router: string) {
-  return createGrantHolder({ group, router, incarnation: router })
+  return createCreditPool({ group, router, incarnation: router })
 }
 
 const ledgerView = (nowMs: number) => ({
@@ -49,16 +49,16 @@
   group: ReturnType<typeof groupOf>,
   holders: ReturnType<typeof holderOf>[],
 ) {
-  const home = createGroupHome({ group, router: 'r1' })
+  const home = createGroupCoordinator({ group, router: 'r1' })
   const epoch = Math.max(...holders.map((holder) => holder.epoch))
-  for (const { to, ask } of home.update({
-    home: 'r1',
+  for (const { to, request: ask } of home.update({
+    coordinator: 'r1',
     routers,
     epoch,
     nowMs: 0,
   })) {
     const holder = holders[routers.indexOf(to)]
-    if (holder) home.collected(holder.collect(ask), 0)
+    if (holder) home.applyCollectResponse(holder.handleCollectRequest(ask), 0)
   }
   return home
 }
@@ -75,7 +75,10 @@
         assert.ok(home.granting)
         const loads = () =>
           group.members.map((_, index) =>
-            holders.reduce((sum, { used }) => sum + (used[index] ?? 0), 0),
+            holders.reduce(
+              (sum, { inFlight: used }) => sum + (used[index] ?? 0),
+              0,
+            ),
           )
         let nowMs = 1
         for (const { router, action, key, target } of steps) {
@@ -84,21 +87,25 @@
           assert.ok(holder)
           const index = target % size
           if (action === 'finish') {
-            if ((holder.used[index] ?? 0) > 0) holder.finish(index)
+            if ((holder.inFlight[index] ?? 0) > 0) holder.removeInFlight(index)
             // The home hears of the end before anything else happens.
-            const ask = holder.ask([], nowMs)
-            holder.answer(ask.sequence, home.ask(ask, ledgerView(nowMs)))
+            const ask = holder.createGrantRequest([], nowMs)
+            holder.applyGrantResponse(
+              ask.sequence,
+              home.handleGrantRequest(ask, ledgerView(nowMs)),
+            )
             continue
           }
           const wants = action === 'return' ? [] : [{ key, exclude: [] }]
-          const ask = holder.ask(wants, nowMs)
-          const reply = home.ask(ask, ledgerView(nowMs))
+          const ask = holder.createGrantRequest(wants, nowMs)
+          const reply = home.handleGrantRequest(ask, ledgerView(nowMs))
           assert.equal(reply.status, GrantStatus.Granted)
           if (action === 'lose reply') {
-            holder.abandon()
+            holder.abandonRequest()
             continue
           }
-          const [granted = -1] = holder.answer(ask.sequence, reply) ?? []
+          const [granted = -1] =
+            holder.applyGrantResponse(ask.sequence, reply) ?? []
           if (granted < 0) continue
           const after = loads()
           const total = after.reduce((sum, load) => sum + load, 0)
@@ -116,27 +123,42 @@
     const [holder] = holders
     assert.ok(holder)
     const old = openHome(group, holders)
-    const late = holder.ask([{ key: 'chat', exclude: [] }], 1)
-    const reply = old.ask(late, ledgerView(1))
+    const late = holder.createGrantRequest([{ key: 'chat', exclude: [] }], 1)
+    const reply = old.handleGrantRequest(late, ledgerView(1))
     const next = openHome(group, holders)
     assert.ok(next.granting)
-    assert.equal(holder.answer(late.sequence, reply), undefined)
-    const again = holder.ask([{ key: 'chat', exclude: [] }], 2)
-    assert.equal(old.ask(again, ledgerView(2)).status, GrantStatus.NotHome)
-    assert.equal(next.ask(again, ledgerView(2)).status, GrantStatus.Granted)
-    assert.deepEqual(holder.used, [0, 0, 0, 0])
+    assert.equal(holder.applyGrantResponse(late.sequence, reply), undefined)
+    const again = holder.createGrantRequest([{ key: 'chat', exclude: [] }], 2)
+    assert.equal(
+      old.handleGrantRequest(again, ledgerView(2)).status,
+      GrantStatus.NotCoordinator,
+    )
+    assert.equal(
+      next.handleGrantRequest(again, ledgerView(2)).status,
+      GrantStatus.Granted,
+    )
+    assert.deepEqual(holder.inFlight, [0, 0, 0, 0])
   })
 
   it('are refused while counts are missing, to differing views and to old messages', () => {
     const group = groupOf(4)
     const holder = holderOf(group, 'r2')
-    const home = createGroupHome({ group, router: 'r1' })
-    home.update({ home: 'r1', routers, epoch: 0, nowMs: 0 })
-    const first = holder.ask([{ key: 'chat', exclude: [] }], 1)
-    assert.equal(home.ask(first, ledgerView(1)).status, GrantStatus.Collecting)
-    assert.equal(home.ask(first, ledgerView(2)).status, GrantStatus.Stale)
-    const other = holderOf(groupOf(5), 'r3').ask([], 1)
-    const differing = home.ask({ ...other, group: group.id }, ledgerView(2))
+    const home = createGroupCoordinator({ group, router: 'r1' })
+    home.update({ coordinator: 'r1', routers, epoch: 0, nowMs: 0 })
+    const first = holder.createGrantRequest([{ key: 'chat', exclude: [] }], 1)
+    assert.equal(
+      home.handleGrantRequest(first, ledgerView(1)).status,
+      GrantStatus.Collecting,
+    )
+    assert.equal(
+      home.handleGrantRequest(first, ledgerView(2)).status,
+      GrantStatus.Stale,
+    )
+    const other = holderOf(groupOf(5), 'r3').createGrantRequest([], 1)
+    const differing = home.handleGrantRequest(
+      { ...other, group: group.id },
+      ledgerView(2),
+    )
     assert.equal(differing.status, GrantStatus.ViewsDiffer)
   })
 })
@@ -154,18 +176,18 @@
         )
         const loads = [...known]
         for (const id of ids) {
-          const shares = createLevelShares(group, id)
+          const shares = createFallbackQuota(group, id)
           shares.refresh({
             routers: ids,
-            known,
+            knownLoads: known,
             ageMs: 0,
             maxAgeMs: 1_000,
             maxLoadFactor: FACTOR,
             eligible: () => true,
           })
           for (const index of loads.keys()) {
-            while (shares.mayTake(index)) {
-              shares.take(index)
+            while (shares.hasQuota(index)) {
+              shares.consume(index)
               loads[index] = (loads[index] ?? 0) + 1
             }
           }
--- a/packages/core/src/node/routing/createGrantHolder.ts
+++ b/packages/core/src/node/routing/createCreditPool.ts
@@ -5,47 +5,53 @@
   SMALL_LOAD,
 } from './constants.js'
 import type {
-  CollectAsk,
-  CollectReply,
-  GrantAsk,
-  GrantReply,
-  PlaceWant,
+  CollectRequest,
+  CollectResponse,
+  GrantRequest,
+  GrantResponse,
+  PlacementRequest,
 } from './grantMessages.js'
 import { GrantStatus } from './grantStatus.js'
 import type { TargetGroup } from './targetGroup.js'
 
 /** What a holder works with. */
-export interface GrantHolderOptions {
+export interface CreditPoolOptions {
   readonly group: TargetGroup
   readonly router: string
   readonly incarnation: string
 }
 
 /** A router's own side of one group: what it uses and may use. */
-export interface GrantHolder {
+export interface CreditPool {
   readonly epoch: number
   /** Requests in flight from this router, by target. */
-  readonly used: readonly number[]
+  readonly inFlight: readonly number[]
   /** Whether a credit on the target can be used now. */
   hasCredit(index: number, nowMs: number): boolean
   /** Uses a credit; false when there is none. */
-  useCredit(index: number, nowMs: number): boolean
+  consumeCredit(index: number, nowMs: number): boolean
   /** Counts a place that was taken without the home. */
-  take(index: number): void
+  addInFlight(index: number): void
   /** Counts a request that ended. */
-  finish(index: number): void
+  removeInFlight(index: number): void
   /** Whether the home should hear of the changes although nobody waits. */
-  returnDue(nowMs: number, isHome: boolean): boolean
-  ask(wants: readonly PlaceWant[], nowMs: number): GrantAsk
+  isReportDue(nowMs: number, isHome: boolean): boolean
+  createGrantRequest(
+    wants: readonly PlacementRequest[],
+    nowMs: number,
+  ): GrantRequest
   /** Takes in the answer to the last message; undefined when it is too late. */
-  answer(sequence: number, reply: GrantReply): readonly number[] | undefined
+  applyGrantResponse(
+    sequence: number,
+    reply: GrantResponse,
+  ): readonly number[] | undefined
   /** Gives up waiting for the answer to the last message. */
-  abandon(): void
-  collect(ask: CollectAsk): CollectReply
+  abandonRequest(): void
+  handleCollectRequest(ask: CollectRequest): CollectResponse
 }
 
 /** Creates the router's side of a group. */
-export function createGrantHolder(options: GrantHolderOptions): GrantHolder {
+export function createCreditPool(options: CreditPoolOptions): CreditPool {
   const { group, router, incarnation } = options
   const size = group.members.length
   const used = new Array<number>(size).fill(0)
@@ -82,7 +88,7 @@
     changed = true
   }
 
-  function addLoans(reply: GrantReply, askedAtMs: number): void {
+  function addLoans(reply: GrantResponse, askedAtMs: number): void {
     for (const [index, lent] of reply.loans.entries()) {
       if (lent <= 0) continue
       credits[index] = (credits[index] ?? 0) + lent
@@ -95,32 +101,32 @@
   }
 
   return {
-    used,
+    inFlight: used,
     get epoch() {
       return epoch
     },
     hasCredit,
-    useCredit(index, nowMs) {
+    consumeCredit(index, nowMs) {
       if (!hasCredit(index, nowMs)) return false
       credits[index] = (credits[index] ?? 0) - 1
       addUsed(index, 1)
       return true
     },
-    take: (index) => {
+    addInFlight: (index) => {
       addUsed(index, 1)
     },
-    finish: (index) => {
+    removeInFlight: (index) => {
       addUsed(index, -1)
       finished += 1
     },
-    returnDue(nowMs, isHome) {
+    isReportDue(nowMs, isHome) {
       expireCredits(nowMs)
       if (isHome) return changed
       const fall = toldTotal <= SMALL_LOAD ? 1 : RETURN_AT_FALL
       if (toldTotal - total >= fall) return true
       return changed && nowMs - lastAskMs >= RETURN_MS
     },
-    ask(wants, nowMs) {
+    createGrantRequest(wants, nowMs) {
       expireCredits(nowMs)
       sequence += 1
       pending = { sequence, atMs: nowMs }
@@ -142,7 +148,7 @@
         wants,
       }
     },
-    answer(answered, reply) {
+    applyGrantResponse(answered, reply) {
       if (pending?.sequence !== answered) return undefined
       const { atMs } = pending
       pending = undefined
@@ -162,11 +168,11 @@
       addLoans(reply, atMs)
       return reply.granted
     },
-    abandon() {
+    abandonRequest() {
       pending = undefined
       changed = true
     },
-    collect(ask) {
+    handleCollectRequest(ask) {
       const accepted =
         ask.membersHash === group.membersHash && ask.epoch >= epoch
       if (accepted && ask.epoch > epoch) {
--- a/packages/core/src/node/routing/createLevelShares.ts
+++ b/packages/core/src/node/routing/createFallbackQuota.ts
@@ -1,11 +1,11 @@
 import type { TargetGroup } from './targetGroup.js'
 
 /** What a router knows of the group when it has to do without the home. */
-export interface SharesView {
+export interface FleetLoadReport {
   /** Live routers, this one included, in any order. */
   readonly routers: readonly string[]
   /** Requests in flight by target, from the digests of all routers. */
-  readonly known: readonly number[]
+  readonly knownLoads: readonly number[]
   /** Age of the oldest digest in milliseconds. */
   readonly ageMs: number
   /** Age at which the bound has shrunk to the mean. */
@@ -15,18 +15,18 @@
 }
 
 /** A router's shares of the places that are free by the latest digests. */
-export interface LevelShares {
+export interface FallbackQuota {
   /** Starts over from new digests. */
-  refresh(view: SharesView): void
+  refresh(view: FleetLoadReport): void
   /** Whether this router may place one more request on the target. */
-  mayTake(index: number): boolean
+  hasQuota(index: number): boolean
   /** Counts a request placed since the digests. */
-  take(index: number): void
+  consume(index: number): void
   /**
    * Target with the most room by the digests, for lack of a share; undefined
    * when all are at the bound.
    */
-  roomiest(exclude: readonly number[]): number | undefined
+  findMostHeadroom(exclude: readonly number[]): number | undefined
 }
 
 /**
@@ -34,10 +34,10 @@
  * its known load and the bound belong to the routers in turn, in an order that
  * each router computes alike.
  */
-export function createLevelShares(
+export function createFallbackQuota(
   group: TargetGroup,
   router: string,
-): LevelShares {
+): FallbackQuota {
   const size = group.members.length
   const bounds = new Array<number>(size).fill(0)
   const knownLoads = new Array<number>(size).fill(0)
@@ -79,7 +79,7 @@
       for (const [index, { weight }] of group.members.entries()) {
         eligible[index] = view.eligible(index)
         if (!eligible[index]) continue
-        total += view.known[index] ?? 0
+        total += view.knownLoads[index] ?? 0
         weights += weight
       }
       const freshness = Math.max(0, 1 - view.ageMs / view.maxAgeMs)
@@ -88,15 +88,15 @@
       for (const [index, { weight }] of group.members.entries()) {
         bounds[index] =
           weights > 0 ? (factor * total * weight) / weights + 1 : 1
-        knownLoads[index] = view.known[index] ?? 0
+        knownLoads[index] = view.knownLoads[index] ?? 0
       }
     },
-    mayTake: (index) =>
+    hasQuota: (index) =>
       eligible[index] === true && nextLevel(index) <= (bounds[index] ?? 0),
-    take: (index) => {
+    consume: (index) => {
       taken[index] = (taken[index] ?? 0) + 1
     },
-    roomiest(exclude) {
+    findMostHeadroom(exclude) {
       let best: number | undefined
       let most = -Infinity
       for (const [index, { weight }] of group.members.entries()) {
--- a/packages/core/src/node/routing/createFlapDamper.ts
+++ b/packages/core/src/node/routing/createFlapDamper.ts
@@ -1,7 +1,7 @@
 /** Keeps targets out for a while that leave and return again and again. */
 export interface FlapDamper {
   /** Notes whether a target is listed now; returns whether to use it. */
-  note(targetId: string, listed: boolean, nowMs: number): boolean
+  update(targetId: string, listed: boolean, nowMs: number): boolean
 }
 
 /** What a flap damper works with. */
@@ -43,7 +43,7 @@
   }
 
   return {
-    note(targetId, listed, nowMs) {
+    update(targetId, listed, nowMs) {
       const known = conducts.get(targetId)
       if (known) {
         change(known, listed, nowMs)
--- a/packages/core/src/node/routing/createGrantLedger.ts
+++ b/packages/core/src/node/routing/createGrantLedger.ts
@@ -2,13 +2,13 @@
 import { createAccountBook } from './createAccountBook.js'
 import { createReportWindow } from './createReportWindow.js'
 import type {
-  CollectReply,
-  GrantAsk,
-  GrantReply,
-  PlaceWant,
+  CollectResponse,
+  GrantRequest,
+  GrantResponse,
+  PlacementRequest,
 } from './grantMessages.js'
 import { GrantStatus } from './grantStatus.js'
-import type { LedgerView } from './ledgerView.js'
+import type { LedgerContext } from './ledgerContext.js'
 import { rendezvousOrder } from './rendezvousOrder.js'
 import type { TargetGroup } from './targetGroup.js'
 
@@ -32,14 +32,14 @@
   readonly epoch: number
   /** Routers whose counts must come in before places are granted. */
   readonly missing: Set<string>
-  collected(reply: CollectReply, nowMs: number): void
-  ask(ask: GrantAsk, view: LedgerView): GrantReply
+  collected(reply: CollectResponse, nowMs: number): void
+  ask(ask: GrantRequest, view: LedgerContext): GrantResponse
   /** Drops what a router held that is gone. */
   forget(router: string, nowMs: number): void
   /** Routers that were not heard of since a time. */
   silentRouters(sinceMs: number): string[]
   knows(router: string): boolean
-  status(view: LedgerView): LedgerStatus[]
+  status(view: LedgerContext): LedgerStatus[]
 }
 
 /** Creates the account of a home's group. */
@@ -58,7 +58,7 @@
 
   const zeros = (): number[] => new Array<number>(size).fill(0)
 
-  function heldBy(view: LedgerView): number[] {
+  function heldBy(view: LedgerContext): number[] {
     const held = members.map(({ index }) => book.held(index))
     reports.note(held, view.nowMs)
     return held.map(
@@ -66,29 +66,29 @@
     )
   }
 
-  function weightOf(view: LedgerView): number {
+  function weightOf(view: LedgerContext): number {
     let total = 0
     for (const { index, weight } of members)
       if (view.eligible(index)) total += weight
     return total
   }
 
-  function meanLoad(view: LedgerView, starting: number): number {
+  function meanLoad(view: LedgerContext, starting: number): number {
     const total = book.lowerLoad((index) => view.eligible(index), view.nowMs)
     const mean = (total + starting) / Math.max(weightOf(view), Number.EPSILON)
     return Math.min(mean, view.serviceMean ?? mean)
   }
 
-  function orderOf(want: PlaceWant): typeof members {
+  function orderOf(want: PlacementRequest): typeof members {
     const order = rendezvousOrder(want.key, members)
     const hinted = want.hint === undefined ? undefined : members[want.hint]
     return hinted ? [hinted, ...order] : order
   }
 
   function choose(
-    want: PlaceWant,
+    want: PlacementRequest,
     held: readonly number[],
-    view: LedgerView,
+    view: LedgerContext,
   ): number {
     const limit = view.maxLoadFactor * meanLoad(view, 1)
     for (const { index, weight } of orderOf(want)) {
@@ -101,9 +101,9 @@
   // The lower estimate is too low for a few requests on a few targets; then the
   // least loaded target is within the bound by the counts as they stand.
   function leastHeld(
-    want: PlaceWant,
+    want: PlacementRequest,
     held: readonly number[],
-    view: LedgerView,
+    view: LedgerContext,
   ): number {
     let least = -1
     let lowest = Infinity
@@ -120,7 +120,7 @@
     return lowest <= view.maxLoadFactor * mean ? least : -1
   }
 
-  function grant(ask: GrantAsk, view: LedgerView): number[] {
+  function grant(ask: GrantRequest, view: LedgerContext): number[] {
     const held = heldBy(view)
     const granted: number[] = []
     for (const want of ask.wants) {
@@ -133,7 +133,7 @@
     return granted
   }
 
-  function lend(router: string, view: LedgerView): number[] {
+  function lend(router: string, view: LedgerContext): number[] {
     const loans = zeros()
     const held = heldBy(view)
     const mean = meanLoad(view, 0)
@@ -157,12 +157,12 @@
     return loans
   }
 
-  function refuse(status: GrantStatus, ask: GrantAsk): GrantReply {
+  function refuse(status: GrantStatus, ask: GrantRequest): GrantResponse {
     const granted = ask.wants.map(() => -1)
     return { status, epoch, granted, loans: [] }
   }
 
-  function account(ask: GrantAsk, nowMs: number): boolean {
+  function account(ask: GrantRequest, nowMs: number): boolean {
     const { router, incarnation, sequence, used, finished } = ask
     const known = book.get(router)
     if (known?.incarnation === incarnation && sequence <= known.sequence)
--- a/packages/core/src/node/routing/createGroupHome.ts
+++ b/packages/core/src/node/routing/createGroupCoordinator.ts
@@ -5,28 +5,28 @@
   type LedgerStatus,
 } from './createGrantLedger.js'
 import type {
-  CollectAsk,
-  CollectReply,
-  GrantAsk,
-  GrantReply,
+  CollectRequest,
+  CollectResponse,
+  GrantRequest,
+  GrantResponse,
 } from './grantMessages.js'
 import { GrantStatus } from './grantStatus.js'
-import type { LedgerView } from './ledgerView.js'
+import type { LedgerContext } from './ledgerContext.js'
 import type { TargetGroup } from './targetGroup.js'
 
 /** What a group's home works with. */
-export interface GroupHomeOptions {
+export interface GroupCoordinatorOptions {
   readonly group: TargetGroup
   /** This router. */
   readonly router: string
   /** @default DEFAULT_LOAN_SIZE */
-  readonly loanSize?: number
+  readonly creditBatchSize?: number
 }
 
 /** What a router knows of the fleet when it looks after a group. */
-export interface HomeView {
+export interface CoordinatorContext {
   /** Home of the group in this router's view. */
-  readonly home: string | undefined
+  readonly coordinator: string | undefined
   /** Live routers, this one included. */
   readonly routers: readonly string[]
   /** Highest epoch that this router has accepted as a holder. */
@@ -35,20 +35,20 @@
 }
 
 /** A count that the home wants from a router. */
-export interface CollectCall {
+export interface OutgoingCollectRequest {
   readonly to: string
-  readonly ask: CollectAsk
+  readonly request: CollectRequest
 }
 
 /** The home's side of one group on a router that may or may not be its home. */
-export interface GroupHome {
+export interface GroupCoordinator {
   /** Takes in the view; returns the counts to ask for now. */
-  update(view: HomeView): CollectCall[]
-  collected(reply: CollectReply, nowMs: number): void
-  ask(ask: GrantAsk, view: LedgerView): GrantReply
+  update(view: CoordinatorContext): OutgoingCollectRequest[]
+  applyCollectResponse(reply: CollectResponse, nowMs: number): void
+  handleGrantRequest(ask: GrantRequest, view: LedgerContext): GrantResponse
   /** Whether this router grants places now. */
   readonly granting: boolean
-  status(view: LedgerView): LedgerStatus[]
+  status(view: LedgerContext): LedgerStatus[]
 }
 
 /** Milliseconds between two tries to collect a router's counts. */
@@ -64,8 +64,10 @@
 const FORGET_AFTER_MS = 2_000
 
 /** Creates the home's side of a group. */
-export function createGroupHome(options: GroupHomeOptions): GroupHome {
-  const { group, router, loanSize } = options
+export function createGroupCoordinator(
+  options: GroupCoordinatorOptions,
+): GroupCoordinator {
+  const { group, router, creditBatchSize: loanSize } = options
   let ledger: GrantLedger | undefined
   let highestEpoch = 0
   let closedUntilMs = -Infinity
@@ -86,7 +88,7 @@
     end()
   }
 
-  function open(view: HomeView): GrantLedger {
+  function open(view: CoordinatorContext): GrantLedger {
     const heard = Math.max(highestEpoch, view.epoch)
     const turn = Math.floor(heard / EPOCH_STEP) + 1
     highestEpoch = turn * EPOCH_STEP + (hash32(router) % EPOCH_STEP)
@@ -95,7 +97,7 @@
     return createGrantLedger({ group, epoch: highestEpoch, loanSize })
   }
 
-  function expectRouters(current: GrantLedger, view: HomeView): void {
+  function expectRouters(current: GrantLedger, view: CoordinatorContext): void {
     for (const id of view.routers)
       if (!current.knows(id)) current.missing.add(id)
     for (const id of [...current.missing])
@@ -105,18 +107,21 @@
       if (!view.routers.includes(id)) current.forget(id, view.nowMs)
   }
 
-  function collectCalls(current: GrantLedger, nowMs: number): CollectCall[] {
+  function collectCalls(
+    current: GrantLedger,
+    nowMs: number,
+  ): OutgoingCollectRequest[] {
     if (nowMs - collectedAtMs < COLLECT_RETRY_MS) return []
     collectedAtMs = nowMs
     const { epoch } = current
     const { id, membersHash } = group
-    const ask = { group: id, membersHash, home: router, epoch }
-    return [...current.missing].map((to) => ({ to, ask }))
+    const request = { group: id, membersHash, home: router, epoch }
+    return [...current.missing].map((to) => ({ to, request: request }))
   }
 
   return {
     update(view) {
-      if (view.home !== router) {
+      if (view.coordinator !== router) {
         end()
         return []
       }
@@ -126,16 +131,21 @@
       expectRouters(ledger, view)
       return collectCalls(ledger, view.nowMs)
     },
-    collected(reply, nowMs) {
+    applyCollectResponse(reply, nowMs) {
       if (!ledger) return
       if (reply.epoch > ledger.epoch) outbid(reply.epoch, nowMs)
       else if (reply.accepted) ledger.collected(reply, nowMs)
     },
-    ask(ask, view) {
+    handleGrantRequest(ask, view) {
       if (ledger && ask.epoch > ledger.epoch) outbid(ask.epoch, view.nowMs)
       if (ledger) return ledger.ask(ask, view)
       const granted = ask.wants.map(() => -1)
-      return { status: GrantStatus.NotHome, epoch: 0, granted, loans: [] }
+      return {
+        status: GrantStatus.NotCoordinator,
+        epoch: 0,
+        granted,
+        loans: [],
+      }
     },
     get granting() {
       return ledger?.missing.size === 0
--- a/packages/core/src/node/routing/createGroupPlacer.ts
+++ b/packages/core/src/node/routing/createGroupTargetSelector.ts
@@ -1,63 +1,74 @@
-import type { GrantHolder } from './createGrantHolder.js'
-import type { LevelShares } from './createLevelShares.js'
-import type { GrantAsk, GrantReply, PlaceWant } from './grantMessages.js'
+import type { CreditPool } from './createCreditPool.js'
+import type { FallbackQuota } from './createFallbackQuota.js'
+import type {
+  GrantRequest,
+  GrantResponse,
+  PlacementRequest,
+} from './grantMessages.js'
 import { GrantStatus } from './grantStatus.js'
-import { PlaceSource } from './placeSource.js'
+import { SelectionSource } from './selectionSource.js'
 import { rendezvousOrder } from './rendezvousOrder.js'
 import type { TargetGroup } from './targetGroup.js'
 
 /** What a placer works with. */
-export interface GroupPlacerOptions {
+export interface GroupTargetSelectorOptions {
   readonly group: TargetGroup
-  readonly holder: GrantHolder
-  readonly shares: LevelShares
+  readonly creditPool: CreditPool
+  readonly fallbackQuota: FallbackQuota
   /** Milliseconds that a request waits for the home at most. */
-  readonly homeLimitMs: number
+  readonly coordinatorTimeoutMs: number
 }
 
 /** What a placer must know at each decision. */
-export interface PlacerView {
+export interface SelectionContext {
   readonly nowMs: number
   /** Whether there is a home to ask. */
-  readonly homeKnown: boolean
+  readonly hasCoordinator: boolean
   /** Whether this router is the home itself. */
-  readonly isHome: boolean
+  readonly isCoordinator: boolean
   eligible(index: number): boolean
 }
 
 /** Where a request goes. */
-export interface Placed {
+export interface TargetSelection {
   readonly requestId: number
   /** Index of the target; -1 for none. */
   readonly index: number
-  readonly source: PlaceSource
+  readonly source: SelectionSource
   /** Milliseconds that the decision waited. */
   readonly waitedMs: number
 }
 
 /** Places the requests of one router on one group. */
-export interface GroupPlacer {
+export interface GroupTargetSelector {
   /** Places a request at once, or lets it wait for the home. */
-  request(
+  select(
     requestId: number,
-    want: PlaceWant,
-    view: PlacerView,
-  ): Placed | undefined
+    want: PlacementRequest,
+    view: SelectionContext,
+  ): TargetSelection | undefined
   /** The message to send now, if any; one is under way at a time. */
-  nextAsk(view: PlacerView): GrantAsk | undefined
-  answered(sequence: number, reply: GrantReply, view: PlacerView): Placed[]
+  nextGrantRequest(view: SelectionContext): GrantRequest | undefined
+  applyGrantResponse(
+    sequence: number,
+    reply: GrantResponse,
+    view: SelectionContext,
+  ): TargetSelection[]
   /** The message got no answer: its requests do without the home. */
-  failed(sequence: number, view: PlacerView): Placed[]
+  handleGrantFailure(
+    sequence: number,
+    view: SelectionContext,
+  ): TargetSelection[]
   /** Requests that have waited for the limit do without the home. */
-  expire(view: PlacerView): Placed[]
+  expireWaiting(view: SelectionContext): TargetSelection[]
   /** When the next request has waited for the limit. */
   readonly nextExpiryMs: number | undefined
-  finished(index: number): void
+  release(index: number): void
 }
 
 interface Waiting {
   readonly requestId: number
-  readonly want: PlaceWant
+  readonly want: PlacementRequest
   readonly sinceMs: number
 }
 
@@ -65,11 +76,18 @@
 const SILENT_HOME_MS = 250
 
 /** Milliseconds after which a home that was not ready is asked again. */
-export const HOME_RETRY_MS = 1
+export const COORDINATOR_RETRY_MS = 1
 
 /** Creates the placer of one group. */
-export function createGroupPlacer(options: GroupPlacerOptions): GroupPlacer {
-  const { group, holder, shares, homeLimitMs } = options
+export function createGroupTargetSelector(
+  options: GroupTargetSelectorOptions,
+): GroupTargetSelector {
+  const {
+    group,
+    creditPool: holder,
+    fallbackQuota: shares,
+    coordinatorTimeoutMs: homeLimitMs,
+  } = options
   const members = group.members.map(({ id, weight }, index) => ({
     id,
     weight,
@@ -81,7 +99,10 @@
   let silentUntilMs = -Infinity
   let retryAtMs = -Infinity
 
-  function* candidates(want: PlaceWant, view: PlacerView): Iterable<number> {
+  function* candidates(
+    want: PlacementRequest,
+    view: SelectionContext,
+  ): Iterable<number> {
     const usable = (index: number): boolean =>
       view.eligible(index) && !want.exclude.includes(index)
     if (want.hint !== undefined && usable(want.hint)) yield want.hint
@@ -89,26 +110,32 @@
       if (usable(index)) yield index
   }
 
-  function preferred(want: PlaceWant, view: PlacerView): number | undefined {
+  function preferred(
+    want: PlacementRequest,
+    view: SelectionContext,
+  ): number | undefined {
     for (const index of candidates(want, view)) return index
     return undefined
   }
 
-  function withoutHome(entry: Waiting, view: PlacerView): Placed {
+  function withoutHome(
+    entry: Waiting,
+    view: SelectionContext,
+  ): TargetSelection {
     const { requestId, want, sinceMs } = entry
     const waitedMs = view.nowMs - sinceMs
     for (const index of candidates(want, view)) {
-      if (!shares.mayTake(index)) continue
-      shares.take(index)
-      holder.take(index)
-      return { requestId, index, source: PlaceSource.Share, waitedMs }
+      if (!shares.hasQuota(index)) continue
+      shares.consume(index)
+      holder.addInFlight(index)
+      return { requestId, index, source: SelectionSource.Share, waitedMs }
     }
-    const index = shares.roomiest(want.exclude)
+    const index = shares.findMostHeadroom(want.exclude)
     if (index === undefined || !view.eligible(index))
-      return { requestId, index: -1, source: PlaceSource.None, waitedMs }
-    shares.take(index)
-    holder.take(index)
-    return { requestId, index, source: PlaceSource.Forced, waitedMs }
+      return { requestId, index: -1, source: SelectionSource.None, waitedMs }
+    shares.consume(index)
+    holder.addInFlight(index)
+    return { requestId, index, source: SelectionSource.Forced, waitedMs }
   }
 
   function endAsk(): Waiting[] {
@@ -118,27 +145,32 @@
     return ended
   }
 
-  function giveUp(view: PlacerView): Placed[] {
-    holder.abandon()
+  function giveUp(view: SelectionContext): TargetSelection[] {
+    holder.abandonRequest()
     silentUntilMs = view.nowMs + SILENT_HOME_MS
     return endAsk().map((entry) => withoutHome(entry, view))
   }
 
-  function usable(view: PlacerView): boolean {
-    return view.homeKnown && view.nowMs >= silentUntilMs
+  function usable(view: SelectionContext): boolean {
+    return view.hasCoordinator && view.nowMs >= silentUntilMs
   }
 
   return {
-    request(requestId, want, view) {
+    select(requestId, want, view) {
       const first = preferred(want, view)
       if (first === undefined)
-        return { requestId, index: -1, source: PlaceSource.None, waitedMs: 0 }
-      if (holder.useCredit(first, view.nowMs)) {
-        shares.take(first)
+        return {
+          requestId,
+          index: -1,
+          source: SelectionSource.None,
+          waitedMs: 0,
+        }
+      if (holder.consumeCredit(first, view.nowMs)) {
+        shares.consume(first)
         return {
           requestId,
           index: first,
-          source: PlaceSource.Credit,
+          source: SelectionSource.Credit,
           waitedMs: 0,
         }
       }
@@ -147,44 +179,47 @@
       waiting.push(entry)
       return undefined
     },
-    nextAsk(view) {
+    nextGrantRequest(view) {
       if (askedSequence !== undefined || !usable(view)) return undefined
       if (view.nowMs < retryAtMs) return undefined
-      if (waiting.length === 0 && !holder.returnDue(view.nowMs, view.isHome))
+      if (
+        waiting.length === 0 &&
+        !holder.isReportDue(view.nowMs, view.isCoordinator)
+      )
         return undefined
       asked = waiting
       waiting = []
-      const ask = holder.ask(
+      const ask = holder.createGrantRequest(
         asked.map(({ want }) => want),
         view.nowMs,
       )
       askedSequence = ask.sequence
       return ask
     },
-    answered(sequence, reply, view) {
+    applyGrantResponse(sequence, reply, view) {
       if (sequence !== askedSequence) return []
-      const granted = holder.answer(sequence, reply)
+      const granted = holder.applyGrantResponse(sequence, reply)
       const answered = endAsk()
       if (!granted && reply.status === GrantStatus.ViewsDiffer)
         return answered.map((entry) => withoutHome(entry, view))
       if (!granted) {
         // The home may be ready within the limit.
         waiting = [...answered, ...waiting]
-        retryAtMs = view.nowMs + HOME_RETRY_MS
+        retryAtMs = view.nowMs + COORDINATOR_RETRY_MS
         return []
       }
       return answered.map((entry, position) => {
         const index = granted[position] ?? -1
-        if (index >= 0) shares.take(index)
-        const source = index < 0 ? PlaceSource.None : PlaceSource.Grant
+        if (index >= 0) shares.consume(index)
+        const source = index < 0 ? SelectionSource.None : SelectionSource.Grant
         const { requestId, sinceMs } = entry
         return { requestId, index, source, waitedMs: view.nowMs - sinceMs }
       })
     },
-    failed(sequence, view) {
+    handleGrantFailure(sequence, view) {
       return sequence === askedSequence ? giveUp(view) : []
     },
-    expire(view) {
+    expireWaiting(view) {
       const isDue = ({ sinceMs }: Waiting): boolean =>
         view.nowMs - sinceMs >= homeLimitMs
       const due = waiting.filter(isDue)
@@ -198,8 +233,8 @@
       const oldest = asked[0] ?? waiting[0]
       return oldest && oldest.sinceMs + homeLimitMs
     },
-    finished: (index) => {
-      holder.finish(index)
+    release: (index) => {
+      holder.removeInFlight(index)
     },
   }
 }
--- a/packages/core/src/node/routing/grantMessages.ts
+++ b/packages/core/src/node/routing/grantMessages.ts
@@ -1,7 +1,7 @@
 import type { GrantStatus } from './grantStatus.js'
 
 /** One request that needs a place. */
-export interface PlaceWant {
+export interface PlacementRequest {
   /** The chat's key; decides the order of the targets. */
   readonly key: string
   /** Index of the target that is believed to hold the chat. */
@@ -11,7 +11,7 @@
 }
 
 /** What a router tells the home of a group, and the places it asks for. */
-export interface GrantAsk {
+export interface GrantRequest {
   readonly group: string
   readonly membersHash: number
   readonly router: string
@@ -27,11 +27,11 @@
   readonly credits: readonly number[]
   /** Requests that ended since the last message. */
   readonly finished: number
-  readonly wants: readonly PlaceWant[]
+  readonly wants: readonly PlacementRequest[]
 }
 
 /** The home's answer. */
-export interface GrantReply {
+export interface GrantResponse {
   readonly status: GrantStatus
   /** Credits of lower epochs are void. */
   readonly epoch: number
@@ -42,7 +42,7 @@
 }
 
 /** A new home collects what routers have in flight before it grants. */
-export interface CollectAsk {
+export interface CollectRequest {
   readonly group: string
   readonly membersHash: number
   readonly home: string
@@ -50,7 +50,7 @@
 }
 
 /** A router's answer to a new home. */
-export interface CollectReply {
+export interface CollectResponse {
   /** Whether the router obeys the new epoch from now on. */
   readonly accepted: boolean
   /** Highest epoch that the router has accepted. */
--- a/packages/core/src/node/routing/grantStatus.ts
+++ b/packages/core/src/node/routing/grantStatus.ts
@@ -4,7 +4,7 @@
   /** The home still collects the counts of other routers. */
   Collecting = 'collecting',
   /** The router asked is not the home in its own view. */
-  NotHome = 'not-home',
+  NotCoordinator = 'not-home',
   /** The two routers know different members of the group. */
   ViewsDiffer = 'views-differ',
   /** An older message, or an epoch that a newer home has ended. */
--- a/packages/core/src/node/routing/ledgerView.ts
+++ b/packages/core/src/node/routing/ledgerContext.ts
@@ -1,5 +1,5 @@
 /** What a ledger must know at each decision. */
-export interface LedgerView {
+export interface LedgerContext {
   /** Milliseconds of the monotonic clock. */
   readonly nowMs: number
   readonly maxLoadFactor: number
--- a/packages/core/src/node/routing/homeRouter.ts
+++ b/packages/core/src/node/routing/selectCoordinator.ts
@@ -1,7 +1,7 @@
 import { rendezvousOrder } from './rendezvousOrder.js'
 
 /** Returns the router that grants places on a group, among the live ones. */
-export function homeRouter(
+export function selectCoordinator(
   groupId: string,
   routers: readonly string[],
 ): string | undefined {
--- a/packages/core/src/node/routing/placeSource.ts
+++ b/packages/core/src/node/routing/selectionSource.ts
@@ -1,5 +1,5 @@
 /** What let a request take its place. */
-export enum PlaceSource {
+export enum SelectionSource {
   /** A credit that the home lent in advance. */
   Credit = 'credit',
   /** A grant of the home. */
--- a/packages/core/src/node/snapshot/__tests__/snapshot.test.ts
+++ b/packages/core/src/node/snapshot/__tests__/snapshot.test.ts
@@ -3,7 +3,7 @@
 import { applyLogPage } from '../../configuration/applyLogPage.js'
 import { createConfigurationState } from '../../configuration/configurationState.js'
 import { ConfigurationProblemKind } from '../../configuration/configurationProblem.js'
-import { adoptSnapshot } from '../adoptSnapshot.js'
+import { restoreSnapshot } from '../restoreSnapshot.js'
 import { chooseSnapshot } from '../chooseSnapshot.js'
 import { createSnapshot, moveSnapshot } from '../createSnapshot.js'
 import { scheduleSnapshot, type SnapshotSchedule } from '../snapshotSchedule.js'
@@ -29,18 +29,18 @@
     const written: unknown = JSON.parse(
       JSON.stringify(createSnapshot(stateOf(5))),
     )
-    const adopted = adoptSnapshot(createConfigurationState(), written)
+    const adopted = restoreSnapshot(createConfigurationState(), written)
     assert.deepEqual(adopted._unsafeUnwrap(), stateOf(5))
   })
 
   it('refuses an older snapshot, a damaged one and one with other contents', () => {
-    const older = adoptSnapshot(stateOf(5), createSnapshot(stateOf(4)))
-    const damaged = adoptSnapshot(createConfigurationState(), {
+    const older = restoreSnapshot(stateOf(5), createSnapshot(stateOf(4)))
+    const damaged = restoreSnapshot(createConfigurationState(), {
       ...createSnapshot(stateOf(4)),
       version: 9,
     })
     const other = { ...stateOf(5), digest: 'other' }
-    const differing = adoptSnapshot(stateOf(5), createSnapshot(other))
+    const differing = restoreSnapshot(stateOf(5), createSnapshot(other))
     assert.deepEqual(
       [older, damaged, differing].map((each) => each._unsafeUnwrapErr().kind),
       [
@@ -53,7 +53,7 @@
 
   it('carries the version over to a log that replaced the old one', () => {
     const moved = moveSnapshot(stateOf(5), 'log-2', 3, 'operator')
-    const adopted = adoptSnapshot(stateOf(5), moved)._unsafeUnwrap()
+    const adopted = restoreSnapshot(stateOf(5), moved)._unsafeUnwrap()
     assert.equal(adopted.logId, 'log-2')
     assert.equal(adopted.version, 5)
     assert.equal(adopted.nextOffset, 3)
@@ -63,11 +63,11 @@
 describe('moveSnapshot', () => {
   it('repairs a log that was shortened, once the fault is known', () => {
     const moved = moveSnapshot(stateOf(5), 'log-1', 3, 'operator')
-    const healthy = adoptSnapshot(stateOf(5), moved)
+    const healthy = restoreSnapshot(stateOf(5), moved)
     assert.ok(healthy.isErr())
     const kind = ConfigurationProblemKind.LogShortened
     const broken = { ...stateOf(5), problem: { kind, message: '' } }
-    assert.equal(adoptSnapshot(broken, moved)._unsafeUnwrap().nextOffset, 3)
+    assert.equal(restoreSnapshot(broken, moved)._unsafeUnwrap().nextOffset, 3)
   })
 })
 
--- a/packages/core/src/node/snapshot/chooseSnapshot.ts
+++ b/packages/core/src/node/snapshot/chooseSnapshot.ts
@@ -1,5 +1,5 @@
 import type { ConfigurationState } from '../configuration/configurationState.js'
-import { adoptSnapshot } from './adoptSnapshot.js'
+import { restoreSnapshot } from './restoreSnapshot.js'
 import { type SnapshotRecord, snapshotRecordSchema } from './snapshotRecord.js'
 
 /** The best of some snapshots, and why others were refused. */
@@ -42,7 +42,7 @@
   let snapshot: unknown
   const refused: string[] = []
   for (const value of withoutRepeatedMoves(logId, values)) {
-    const adopted = adoptSnapshot(best ?? state, value)
+    const adopted = restoreSnapshot(best ?? state, value)
     if (adopted.isErr()) refused.push(adopted.error.message)
     else if (adopted.value.logId === logId) {
       best = adopted.value
--- a/packages/core/src/node/snapshot/adoptSnapshot.ts
+++ b/packages/core/src/node/snapshot/restoreSnapshot.ts
@@ -47,7 +47,7 @@
 }
 
 /** Returns the state that a snapshot holds, or why this router refuses it. */
-export function adoptSnapshot(
+export function restoreSnapshot(
   state: ConfigurationState,
   value: unknown,
 ): Result<ConfigurationState, ConfigurationProblem> {
--- a/packages/core/src/node/stream/__tests__/createStreamAssembler.test.ts
+++ b/packages/core/src/node/stream/__tests__/createStreamAssembler.test.ts
@@ -49,7 +49,7 @@
           for (const { place, repeats } of cuts) {
             const kept = rest.slice(0, place % (rest.length + 1))
             passedOn += feed(assembler, kept, pieceLength)
-            const next = assembler.nextNumber
+            const next = assembler.nextEventNumber
             assert.notEqual(next, undefined)
             assembler.resume()
             const from = Math.max(0, (next ?? 0) - repeats)
@@ -77,7 +77,7 @@
   it('cannot be resumed where its events are not numbered from 0', () => {
     const assembler = createStreamAssembler()
     assert.equal(assembler.push('data: a\n\n'), 'data: a\n\n')
-    assert.equal(assembler.nextNumber, undefined)
+    assert.equal(assembler.nextEventNumber, undefined)
   })
 
   it('refuses a resumed stream without numbers', () => {
--- a/packages/core/src/node/stream/createStreamAssembler.ts
+++ b/packages/core/src/node/stream/createStreamAssembler.ts
@@ -14,7 +14,7 @@
   /** Starts on the next connection: forgets the unfinished event. */
   resume(): void
   /** Number of the event to resume from; undefined where that is not possible. */
-  readonly nextNumber: number | undefined
+  readonly nextEventNumber: number | undefined
   /** Whether the end marker has come. */
   readonly done: boolean
   readonly fault: StreamFault | undefined
@@ -86,7 +86,7 @@
       resumed = true
       parser = createConnectionParser()
     },
-    get nextNumber() {
+    get nextEventNumber() {
       return numbered ? expected : undefined
     },
     get done() {
--- a/packages/core/src/node/teams/authorizeChange.ts
+++ b/packages/core/src/node/teams/authorizeChange.ts
@@ -1,13 +1,13 @@
 import type { Configuration } from '../configuration/configurationSchema.js'
 import type { Actor } from './actor.js'
 import { includesRole, Role } from './role.js'
-import { OwnerKind, ownerOfEntry } from './ownerOfEntry.js'
+import { OwnerKind, findEntryOwner } from './findEntryOwner.js'
 import {
   Section,
-  type TouchedEntry,
-  touchedEntries,
-  touchedFields,
-} from './touchedEntries.js'
+  type ChangedEntry,
+  findChangedEntries,
+  findChangedFields,
+} from './findChangedEntries.js'
 
 function neededRole(section: Section): Role {
   return section === Section.Operators ? Role.Owner : Role.Editor
@@ -17,14 +17,14 @@
   before: Configuration,
   after: Configuration,
   actor: Actor,
-  entry: TouchedEntry,
+  entry: ChangedEntry,
 ): string | undefined {
   const path = `/${entry.section}/${entry.id}`
   const needed = neededRole(entry.section)
   if (!includesRole(actor.role, needed))
     return `${path}: operator ${actor.id} is ${actor.role}; this change needs the role ${needed}`
   for (const cfg of [before, after]) {
-    const owner = ownerOfEntry(cfg, entry)
+    const owner = findEntryOwner(cfg, entry)
     if (owner.kind === OwnerKind.Absent) continue
     if (owner.kind === OwnerKind.Team && owner.team === actor.team) continue
     const whose =
@@ -41,9 +41,9 @@
   actor: Actor,
 ): string | undefined {
   if (actor.team === undefined) return undefined
-  for (const field of touchedFields(before, after))
+  for (const field of findChangedFields(before, after))
     return `/${field}: belongs to the fleet; ask the holder of the administration secret`
-  for (const entry of touchedEntries(before, after)) {
+  for (const entry of findChangedEntries(before, after)) {
     const refused = refuseEntry(before, after, actor, entry)
     if (refused !== undefined) return refused
   }
--- a/packages/core/src/node/teams/touchedEntries.ts
+++ b/packages/core/src/node/teams/findChangedEntries.ts
@@ -12,7 +12,7 @@
 }
 
 /** An entry that differs between two configurations. */
-export interface TouchedEntry {
+export interface ChangedEntry {
   readonly section: Section
   readonly id: string
 }
@@ -21,11 +21,11 @@
  * Returns the entries that differ. Compares the documents rather than the
  * patch, so that a move or the replacement of a whole part hides nothing.
  */
-export function touchedEntries(
+export function findChangedEntries(
   before: Configuration,
   after: Configuration,
-): TouchedEntry[] {
-  const touched: TouchedEntry[] = []
+): ChangedEntry[] {
+  const touched: ChangedEntry[] = []
   for (const section of Object.values(Section)) {
     const was = before[section] as Record<string, unknown>
     const is = after[section] as Record<string, unknown>
@@ -38,7 +38,7 @@
 }
 
 /** Returns the names of top-level fields outside the sections that differ. */
-export function touchedFields(
+export function findChangedFields(
   before: Configuration,
   after: Configuration,
 ): string[] {
--- a/packages/core/src/node/teams/ownerOfEntry.ts
+++ b/packages/core/src/node/teams/findEntryOwner.ts
@@ -1,5 +1,5 @@
 import type { Configuration } from '../configuration/configurationSchema.js'
-import { Section, type TouchedEntry } from './touchedEntries.js'
+import { Section, type ChangedEntry } from './findChangedEntries.js'
 
 /** Whose an entry is. */
 export enum OwnerKind {
@@ -39,9 +39,9 @@
 }
 
 /** Returns whose an entry is: a target's owner is that of its service. */
-export function ownerOfEntry(
+export function findEntryOwner(
   cfg: Configuration,
-  entry: TouchedEntry,
+  entry: ChangedEntry,
 ): EntryOwner {
   const { section, id } = entry
   if (get(cfg[section] as Record<string, unknown>, id) === undefined)
--- a/packages/daemon/src/node/__tests__/startFleet.ts
+++ b/packages/daemon/src/node/__tests__/startFleet.ts
@@ -3,7 +3,7 @@
 import { createCallerKey, ServiceKind } from '@auburnbay/core'
 import {
   formatAddress,
-  type JsonReply,
+  type JsonResponse,
   requestJson,
 } from '@auburnbay/http-utils'
 import {
@@ -53,7 +53,7 @@
   callerUrl(router?: number): string
   adminUrl(router?: number): string
   /** Submits operations against the version in force. */
-  patch(operations: readonly unknown[], base: number): Promise<JsonReply>
+  patch(operations: readonly unknown[], base: number): Promise<JsonResponse>
   /** Starts one more router and puts it on the VM list. */
   addRouter(extra?: Partial<Settings>): Promise<Daemon>
   stop(): Promise<void>
--- a/packages/daemon/src/node/admin/configurationWriter.ts
+++ b/packages/daemon/src/node/admin/configurationWriter.ts
@@ -7,7 +7,7 @@
   type Configuration,
   CONFIGURATION_SCHEMA,
   configurationSchema,
-  offerRebase,
+  checkRebase,
   type PatchOutcome,
   PatchOutcomeKind,
   type PatchRecord,
@@ -90,7 +90,7 @@
     const known = history.isOk() && history.value.complete
     const entries = history.isOk() ? history.value.entries : []
     const theirs = entries.flatMap((entry) => entry.operations)
-    const offer = offerRebase(record.operations, theirs)
+    const offer = checkRebase(record.operations, theirs)
     const message = `version ${tailer.state.version} came into force first; read it and submit the patch again against it`
     return refuse(AdminErrorCode.Conflict, message, {
       ...outcome,
--- a/packages/daemon/src/node/admission/__tests__/createWaitingRouting.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/createWaitingRouting.test.ts
@@ -9,7 +9,7 @@
 import { err, ok } from 'neverthrow'
 import { createFailure } from '../../callers/createFailure.js'
 import type { RoutedRequest } from '../../callers/routedRequest.js'
-import type { Placement, Routing } from '../../routing/routing.js'
+import type { TargetSlot, Routing } from '../../routing/routing.js'
 import type { Admission } from '../admission.js'
 import { createWaitingRouting } from '../createWaitingRouting.js'
 
@@ -45,7 +45,7 @@
 
 function setUp(fullFor: number) {
   const seen = { tries: 0, held: 0, released: 0 }
-  const placement: Placement = {
+  const placement: TargetSlot = {
     target: { id: 'engine-1', address: '127.0.0.1:1' },
     release: () => {
       seen.released += 1
--- a/packages/daemon/src/node/admission/createRankedQueueClass.ts
+++ b/packages/daemon/src/node/admission/createRankedQueueClass.ts
@@ -41,13 +41,13 @@
       if (!added?.request) throw new TypeError('add needs a request to rank')
       const onShed = added.onShed ?? (() => undefined)
       const queued = { ...added.request, run, onShed }
-      for (const shed of this.queue.offer(queued)) shed.onShed()
+      for (const shed of this.queue.enqueue(queued)) shed.onShed()
     }
 
     dequeue(): RunFunction | undefined {
       const next = urgentOnly()
-        ? this.queue.takeUrgent(now())
-        : this.queue.take(now())
+        ? this.queue.dequeueUrgent(now())
+        : this.queue.dequeue(now())
       return next?.run
     }
 
--- a/packages/daemon/src/node/admission/createServiceQueue.ts
+++ b/packages/daemon/src/node/admission/createServiceQueue.ts
@@ -1,7 +1,7 @@
 import {
   createMeanRunTime,
   queueCapacity,
-  reservedPlaces,
+  reservedSlots,
   type WaitingRequest,
 } from '@auburnbay/core'
 import { err, ok, type Result } from 'neverthrow'
@@ -58,7 +58,7 @@
   }
 
   function urgentOnly(): boolean {
-    const reserved = reservedPlaces(concurrency, settings.urgentShare)
+    const reserved = reservedSlots(concurrency, settings.urgentShare)
     return reserved > 0 && running >= concurrency - reserved
   }
 
--- a/packages/daemon/src/node/admission/createWaitingRouting.ts
+++ b/packages/daemon/src/node/admission/createWaitingRouting.ts
@@ -7,7 +7,7 @@
 import { err, ok, type Result } from 'neverthrow'
 import PQueue from 'p-queue'
 import type { RoutedRequest } from '../callers/routedRequest.js'
-import type { Placement, Routing } from '../routing/routing.js'
+import type { TargetSlot, Routing } from '../routing/routing.js'
 import type { Admission } from './admission.js'
 import { leaveFailure } from './leaveFailure.js'
 import { LeaveReason, reasonOf } from './leaveReason.js'
@@ -23,7 +23,7 @@
   readonly epochNow: () => number
 }
 
-type Placed = Result<Placement, RequestFailure>
+type Placed = Result<TargetSlot, RequestFailure>
 
 const TRY_AGAIN_MS = 20
 
--- a/packages/daemon/src/node/callers/createAttempt.ts
+++ b/packages/daemon/src/node/callers/createAttempt.ts
@@ -1,7 +1,7 @@
 import type { Context } from '@opentelemetry/api'
 import { type RequestFailure, Verdict } from '@auburnbay/core'
 import { err, ok, type Result } from 'neverthrow'
-import type { Placement, Routing } from '../routing/routing.js'
+import type { TargetSlot, Routing } from '../routing/routing.js'
 import type { TargetClient } from '../targets/targetClient.js'
 import type { TargetReply } from '../targets/targetReply.js'
 import { Hop, type Tracing } from '../tracing/createTracing.js'
@@ -10,7 +10,7 @@
 
 /** An answered attempt: the place it holds and the answer's head. */
 export interface Attempt {
-  readonly placement: Placement
+  readonly placement: TargetSlot
   readonly reply: TargetReply
 }
 
--- a/packages/daemon/src/node/callers/createDispatcher.ts
+++ b/packages/daemon/src/node/callers/createDispatcher.ts
@@ -50,12 +50,13 @@
   ): Promise<Result<Attempt, RequestFailure>> {
     const exclude = new Set<string>()
     let verdict = Verdict.NotRun
-    retries.firstTry(request)
+    retries.recordFirstAttempt(request)
     for (let tries = 1; ; tries += 1) {
       const result = await tryOnce(request, exclude, parent, tries > 1)
       if (result.isOk()) return result
       verdict = combineVerdicts(verdict, result.error.verdict)
-      if (tries < MAX_TRIES && retries.take(request, result.error)) continue
+      if (tries < MAX_TRIES && retries.tryAcquire(request, result.error))
+        continue
       return err({ ...result.error, verdict })
     }
   }
--- a/packages/daemon/src/node/callers/createRelay.ts
+++ b/packages/daemon/src/node/callers/createRelay.ts
@@ -3,7 +3,7 @@
 import { ServiceKind } from '@auburnbay/core'
 import { countCacheUse } from '../metrics/countCacheUse.js'
 import type { Metrics } from '../metrics/metrics.js'
-import type { Placement } from '../routing/routing.js'
+import type { TargetSlot } from '../routing/routing.js'
 import { runIdOf } from '../targets/replyIdentity.js'
 import type { TargetClient } from '../targets/targetClient.js'
 import type { TargetReply } from '../targets/targetReply.js'
@@ -18,7 +18,7 @@
 export interface RelayCall {
   readonly request: RoutedRequest
   readonly res: ServerResponse
-  readonly placement: Placement
+  readonly placement: TargetSlot
   readonly reply: TargetReply
   readonly parent: Context
 }
--- a/packages/daemon/src/node/callers/relayEventStream.ts
+++ b/packages/daemon/src/node/callers/relayEventStream.ts
@@ -39,11 +39,11 @@
   let reply: TargetReply | undefined = first
   let fruitless = 0
   for (;;) {
-    const before = assembler.nextNumber
+    const before = assembler.nextEventNumber
     if (reply)
       await relayConnection(res, reply, assembler).catch(() => undefined)
     if (assembler.done) return
-    const { fault, nextNumber } = assembler
+    const { fault, nextEventNumber: nextNumber } = assembler
     if (fault !== undefined) throw new Error(`the stream is broken: ${fault}`)
     if (nextNumber === undefined)
       throw new Error('the stream was cut and cannot be resumed')
--- a/packages/daemon/src/node/callers/writeReplyHead.ts
+++ b/packages/daemon/src/node/callers/writeReplyHead.ts
@@ -6,7 +6,7 @@
   Verdict,
   VERDICT_HEADER,
 } from '@auburnbay/core'
-import type { Placement } from '../routing/routing.js'
+import type { TargetSlot } from '../routing/routing.js'
 import { headersToCaller } from '../targets/forwardedHeaders.js'
 import type { TargetReply } from '../targets/targetReply.js'
 
@@ -15,7 +15,7 @@
 /** Passes the head of a target's answer on. */
 export function writeReplyHead(
   res: ServerResponse,
-  placement: Placement,
+  placement: TargetSlot,
   reply: TargetReply,
   isEventStream: boolean,
 ): void {
--- a/packages/daemon/src/node/claims/createClaimTailer.ts
+++ b/packages/daemon/src/node/claims/createClaimTailer.ts
@@ -33,12 +33,12 @@
     logId = page.logId
     if (replaced || shortened) {
       logger.error('The claims stream was replaced; older keys are refused.')
-      table.forget(now())
+      table.reset(now())
       nextOffset = 0
     }
     if (page.firstOffset > nextOffset) {
       const oldestKeptMs = page.records[0]?.atMs ?? Infinity
-      table.forget(Math.min(oldestKeptMs, now() - logRetentionMs))
+      table.reset(Math.min(oldestKeptMs, now() - logRetentionMs))
       nextOffset = page.firstOffset
     }
   }
--- a/packages/daemon/src/node/claims/createClaims.ts
+++ b/packages/daemon/src/node/claims/createClaims.ts
@@ -4,8 +4,8 @@
   ClaimRecordKind,
   createClaimTable,
   type HeldClaim,
-  isKeyCovered,
-  keyTime,
+  isKeyAfterHorizon,
+  parseKeyTime,
   MAX_KEY_SKEW_MS,
   type RequestFailure,
   Verdict,
@@ -116,7 +116,7 @@
     if (request.signal.aborted) return abandonedFailure()
     if (timeMs === undefined) return undefined
     if (timeMs > held.atMs + MAX_KEY_SKEW_MS) return futureKeyFailure()
-    if (!isKeyCovered(timeMs, table.horizonMs)) return oldKeyFailure()
+    if (!isKeyAfterHorizon(timeMs, table.horizonMs)) return oldKeyFailure()
     return undefined
   }
 
@@ -137,14 +137,14 @@
     request: RoutedRequest,
     idempotencyKey: string,
   ): Promise<Result<WonClaim, RequestFailure>> {
-    const timeMs = keyTime(idempotencyKey)
+    const timeMs = parseKeyTime(idempotencyKey)
     if (timeMs === undefined && !settings.acceptUndatedKeys)
       return err(undatedKeyFailure())
     const key = scopedKey(request, idempotencyKey)
     const digest = requestDigest(request)
     const known = table.find(key)
     if (known) return err(heldKeyFailure(known, digest))
-    if (timeMs !== undefined && !isKeyCovered(timeMs, table.horizonMs))
+    if (timeMs !== undefined && !isKeyAfterHorizon(timeMs, table.horizonMs))
       return err(oldKeyFailure())
     const own: OwnClaim = { claimId: randomUUID(), key, digest }
     const decided = await decide(own)
--- a/packages/daemon/src/node/configuration/__tests__/fleetApi.ts
+++ b/packages/daemon/src/node/configuration/__tests__/fleetApi.ts
@@ -1,4 +1,4 @@
-import { type JsonReply, requestJson } from '@auburnbay/http-utils'
+import { type JsonResponse, requestJson } from '@auburnbay/http-utils'
 import { type Fleet, TEST_ADMIN_TOKEN } from '../../__tests__/startFleet.js'
 
 const CALL_TIMEOUT_MS = 10_000
@@ -10,7 +10,7 @@
   method: string,
   path: string,
   body?: unknown,
-): Promise<JsonReply> {
+): Promise<JsonResponse> {
   const reply = await requestJson({
     method,
     url: `${fleet.adminUrl(router)}${path}`,
@@ -43,7 +43,7 @@
   router: number,
   patchId: string,
   baseVersion: number,
-): Promise<JsonReply> {
+): Promise<JsonResponse> {
   return callAdmin(fleet, router, 'POST', '/config/patches', {
     patchId,
     baseVersion,
--- a/packages/daemon/src/node/configuration/createConfigurationStore.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationStore.ts
@@ -1,5 +1,5 @@
 import {
-  adoptSnapshot,
+  restoreSnapshot,
   applyLogPage,
   type ConfigurationPage,
   type ConfigurationState,
@@ -65,7 +65,7 @@
 
   function adopt(value: unknown): void {
     const before = state
-    const adopted = adoptSnapshot(before, value)
+    const adopted = restoreSnapshot(before, value)
     if (adopted.isErr()) {
       logger.warn(`Refused a snapshot: ${adopted.error.message}.`)
       const { kind } = adopted.error
--- a/packages/daemon/src/node/configuration/recordHistory.ts
+++ b/packages/daemon/src/node/configuration/recordHistory.ts
@@ -1,17 +1,17 @@
-import type { PlacedRecord } from '@auburnbay/core'
+import type { ConfigurationLogRecord } from '@auburnbay/core'
 import { HISTORY_CHARACTERS, HISTORY_RECORDS } from './constants.js'
 
 interface Kept {
-  readonly record: PlacedRecord
+  readonly record: ConfigurationLogRecord
   readonly characters: number
 }
 
 /** The newest records of the configuration stream, kept for peers. */
 export interface RecordHistory {
-  add(records: readonly PlacedRecord[]): void
+  add(records: readonly ConfigurationLogRecord[]): void
   clear(): void
   /** Returns the records from an offset on; undefined when some are gone. */
-  from(offset: number): PlacedRecord[] | undefined
+  from(offset: number): ConfigurationLogRecord[] | undefined
 }
 
 /** Creates a history bounded in records and characters. */
--- a/packages/daemon/src/node/createDaemon.ts
+++ b/packages/daemon/src/node/createDaemon.ts
@@ -97,13 +97,13 @@
     now,
   })
   const reporter = createLoadReporter(
-    (resting) => routing.homeTargets(resting),
+    (resting) => routing.coordinatedTargets(resting),
     settings.targets.reportMs,
     now,
     agents.loads,
   )
   const cacheEvents = createCacheEventReader({
-    targets: (resting) => routing.homeTargets(resting),
+    targets: (resting) => routing.coordinatedTargets(resting),
     everyMs: settings.targets.reportMs,
     maxChats: settings.routing.indexedChats,
     keyOf: chatKey,
--- a/packages/daemon/src/node/health/createTargetHealth.ts
+++ b/packages/daemon/src/node/health/createTargetHealth.ts
@@ -66,11 +66,11 @@
   }
 
   function sent(targetId: string): SentRequest {
-    const isProbe = find(targetId)?.started(targetId, now()) ?? false
+    const isProbe = find(targetId)?.recordStart(targetId, now()) ?? false
     const end = (outcome: TargetOutcome) => (): void => {
       const health = find(targetId)
       if (!health) return
-      report(targetId, health.record(targetId, outcome, now(), isProbe))
+      report(targetId, health.recordOutcome(targetId, outcome, now(), isProbe))
     }
     return {
       isProbe,
--- a/packages/daemon/src/node/limits/__tests__/createRetries.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/createRetries.test.ts
@@ -49,10 +49,11 @@
   it('keeps one budget for each service and counts what it refuses', () => {
     const { retries, counts } = setUp(0)
     const down = failure(FailureCode.TargetUnreachable)
-    for (let index = 0; index < 4; index += 1) retries.firstTry(request())
+    for (let index = 0; index < 4; index += 1)
+      retries.recordFirstAttempt(request())
     // What briefing has earned is not for charts.
-    assert.ok(!retries.take(request({ service: 'charts' }), down))
-    const taken = [1, 2, 3].map(() => retries.take(request(), down))
+    assert.ok(!retries.tryAcquire(request({ service: 'charts' }), down))
+    const taken = [1, 2, 3].map(() => retries.tryAcquire(request(), down))
     assert.deepEqual(taken, [true, true, false])
     assert.deepEqual(counts, [
       'retries.refused',
@@ -68,11 +69,11 @@
     gone.abort()
     const failed = failure(FailureCode.TargetFailed)
     const ran = failure(FailureCode.TargetFailed, MayHaveRun)
-    assert.ok(!retries.take(request(), failure(FailureCode.NoTarget)))
-    assert.ok(!retries.take(request(), failure(FailureCode.Overloaded)))
-    assert.ok(!retries.take(request({ signal: gone.signal }), failed))
-    assert.ok(!retries.take(request({ deadlineAtMs: NOW_MS }), failed))
-    assert.ok(!retries.take(request({ idempotent: false }), ran))
+    assert.ok(!retries.tryAcquire(request(), failure(FailureCode.NoTarget)))
+    assert.ok(!retries.tryAcquire(request(), failure(FailureCode.Overloaded)))
+    assert.ok(!retries.tryAcquire(request({ signal: gone.signal }), failed))
+    assert.ok(!retries.tryAcquire(request({ deadlineAtMs: NOW_MS }), failed))
+    assert.ok(!retries.tryAcquire(request({ idempotent: false }), ran))
     assert.deepEqual(counts, [])
   })
 })
--- a/packages/daemon/src/node/limits/createCustomerLimits.ts
+++ b/packages/daemon/src/node/limits/createCustomerLimits.ts
@@ -3,7 +3,7 @@
   createRateWindow,
   FailureCode,
   fleetAllowance,
-  rateLimit,
+  toRateLimit,
   type RateWindow,
 } from '@auburnbay/core'
 import { err, ok } from 'neverthrow'
@@ -58,7 +58,7 @@
   function rateOf(customer: string, ratePerS: number): CustomerRate {
     const known = rates.get(customer)
     if (known?.ratePerS === ratePerS) return known
-    const { windowMs } = rateLimit(ratePerS)
+    const { windowMs } = toRateLimit(ratePerS)
     const rate = {
       ratePerS,
       started: createRateWindow(windowMs),
@@ -77,7 +77,7 @@
   }
 
   function overRate(customer: string, rate: CustomerRate): boolean {
-    const { count: limit, windowMs: holdMs } = rateLimit(rate.ratePerS)
+    const { count: limit, windowMs: holdMs } = toRateLimit(rate.ratePerS)
     const peers = usage.peers(
       (digest) => digest.started?.[customer] ?? 0,
       (digest) => digest.asked?.[customer] ?? 0,
--- a/packages/daemon/src/node/limits/createRetries.ts
+++ b/packages/daemon/src/node/limits/createRetries.ts
@@ -12,9 +12,9 @@
 /** Decides which failed requests are sent once more. */
 export interface Retries {
   /** Counts a request that is sent for the first time. */
-  firstTry(request: RoutedRequest): void
+  recordFirstAttempt(request: RoutedRequest): void
   /** Returns whether to retry; takes the retry out of the budget. */
-  take(request: RoutedRequest, failure: RequestFailure): boolean
+  tryAcquire(request: RoutedRequest, failure: RequestFailure): boolean
 }
 
 const FAILURES_OF_A_TARGET: ReadonlySet<FailureCode> = new Set([
@@ -40,16 +40,16 @@
   }
 
   return {
-    firstTry: ({ service }) => {
-      budgetOf(service).firstTry()
+    recordFirstAttempt: ({ service }) => {
+      budgetOf(service).recordFirstAttempt()
     },
-    take(request, failure) {
+    tryAcquire(request, failure) {
       const { service, idempotent, deadlineAtMs = Infinity } = request
       if (!FAILURES_OF_A_TARGET.has(failure.code)) return false
       const abandoned = request.signal.aborted || epochNow() >= deadlineAtMs
       const { verdict } = failure
       if (!mayRetry({ verdict, idempotent, abandoned })) return false
-      const taken = budgetOf(service).takeRetry()
+      const taken = budgetOf(service).consumeRetry()
       metrics.count(taken ? 'retries' : 'retries.refused', 1, { service })
       return taken
     },
--- a/packages/daemon/src/node/logService/createLogClient.ts
+++ b/packages/daemon/src/node/logService/createLogClient.ts
@@ -1,7 +1,7 @@
 import { Agent } from 'node:http'
 import {
-  type CallError,
-  type JsonReply,
+  type RequestError,
+  type JsonResponse,
   requestJson,
 } from '@auburnbay/http-utils'
 import { err, ok, type Result } from 'neverthrow'
@@ -20,7 +20,7 @@
 })
 
 function check<T>(
-  reply: Result<JsonReply, CallError>,
+  reply: Result<JsonResponse, RequestError>,
   schema: z.ZodType<T>,
   writes: boolean,
 ): Result<T, LogError> {
--- a/packages/daemon/src/node/membership/createMembership.ts
+++ b/packages/daemon/src/node/membership/createMembership.ts
@@ -1,6 +1,6 @@
 import {
   createPeerLiveness,
-  digestPeers,
+  chooseDigestPeers,
   MemberState,
   type VmEntry,
   VmRole,
@@ -56,7 +56,7 @@
     if (heartbeat.router === own) return
     heardAtMs.set(heartbeat.router, now())
     const { router, incarnation, leaving } = heartbeat
-    liveness.hear(router, incarnation, heartbeat, now())
+    liveness.recordHeartbeat(router, incarnation, heartbeat, now())
     options.hearLeaving(leaving ?? {})
   }
 
@@ -81,7 +81,7 @@
   }
 
   function reportDuplicates(): void {
-    for (const id of liveness.duplicates(now()))
+    for (const id of liveness.findDuplicates(now()))
       options.logger.warn(
         `Two routers call themselves ${id}; the newer one counts. Give each its own id.`,
       )
@@ -91,7 +91,7 @@
     liveness.tick(now())
     reportDuplicates()
     const listed = routers()
-    const chosen = new Set(digestPeers({ id: own, dataCentre }, listed))
+    const chosen = new Set(chooseDigestPeers({ id: own, dataCentre }, listed))
     for (const vm of listed)
       if (chosen.has(vm.id) && !heardLately(vm.id)) void call(vm)
   }
@@ -99,7 +99,7 @@
   function livePeers(): PeerStatus[] {
     const addresses = new Map(vms().map(({ id, address }) => [id, address]))
     return liveness
-      .live(now())
+      .livePeers(now())
       .map((peer) => ({ ...peer, address: addresses.get(peer.id) }))
   }
 
--- a/packages/daemon/src/node/membership/createVmListPoller.ts
+++ b/packages/daemon/src/node/membership/createVmListPoller.ts
@@ -1,10 +1,10 @@
 import type { Agent } from 'node:http'
 import {
   applyVmList,
-  createVmView,
+  createMembershipView,
   currentVms,
-  hearLeaving,
-  leavingAges,
+  applyReportedDepartures,
+  departureAges,
   type VmEntry,
   vmListSchema,
 } from '@auburnbay/core'
@@ -41,7 +41,7 @@
 /** Starts polling the VM list. */
 export function createVmListPoller(options: VmListPollerOptions): VmListPoller {
   const { settings, logger, metrics, now, agent } = options
-  let view = createVmView()
+  let view = createMembershipView()
   let shown: readonly VmEntry[] = []
   let shownAtMs = -Infinity
   let answered = true
@@ -88,10 +88,10 @@
     get vms() {
       return show()
     },
-    leaving: () => leavingAges(view, now()),
+    leaving: () => departureAges(view, now()),
     hearLeaving: (ages) => {
       if (Object.keys(ages).length === 0) return
-      view = hearLeaving(view, ages, now())
+      view = applyReportedDepartures(view, ages, now())
       shownAtMs = -Infinity
     },
     stop: () => loop.stop(),
--- a/packages/daemon/src/node/orders/createLeaseKeeper.ts
+++ b/packages/daemon/src/node/orders/createLeaseKeeper.ts
@@ -5,7 +5,7 @@
   findHeldLease,
   type HeldLease,
   LEASE_STREAM,
-  type SentLease,
+  type LeaseRequest,
 } from '@auburnbay/core'
 import type { LogClient } from '../logService/logClient.js'
 
@@ -35,7 +35,7 @@
   const { log, name, holder, ttlMs, now } = options
   let table = createLeaseTable()
   let logId: string | undefined
-  let sent: SentLease | undefined
+  let sent: LeaseRequest | undefined
 
   async function read(): Promise<boolean> {
     const page = await log.read(LEASE_STREAM, table.nextOffset)
--- a/packages/daemon/src/node/orders/createOrderTask.ts
+++ b/packages/daemon/src/node/orders/createOrderTask.ts
@@ -1,19 +1,19 @@
 import {
   type Configuration,
   createLoadBudget,
-  DRAIN_SPREAD_MS,
-  type DrainEvidence,
+  DRAIN_PROPAGATION_MS,
+  type DrainStatus,
   type EngineState,
   type HeldLease,
-  type InFlightSighting,
+  type InFlightSample,
   LEAVING_TTL_MS,
   type OrderAction,
   OrderActionKind,
-  type OrderedTarget,
+  type ManagedTarget,
   planOrders,
   refillBudget,
   rendezvousOrder,
-  sameState,
+  isSameState,
 } from '@auburnbay/core'
 import type { ConsolaInstance } from 'consola'
 import type { PeerStatus } from '../membership/createMembership.js'
@@ -63,7 +63,7 @@
     return rendezvousOrder('orders', weighted)[0]?.id === options.router
   }
 
-  function sightings(target: string): InFlightSighting[] {
+  function sightings(target: string): InFlightSample[] {
     const own = {
       inFlight: options.ownInFlight()[target] ?? 0,
       atMs: now(),
@@ -79,7 +79,7 @@
   async function evidence(
     target: string,
     address: string,
-  ): Promise<DrainEvidence> {
+  ): Promise<DrainStatus> {
     const sinceMs = drainingSince.get(target)
     if (sinceMs === undefined) return { routers: [] }
     const atMs = now()
@@ -94,12 +94,14 @@
     observed: EngineState | undefined,
   ): boolean {
     const last = reached.get(id)
-    if (observed && sameState(observed, desired)) reached.set(id, desired)
-    const wasReached = last !== undefined && sameState(last, desired)
-    return wasReached && observed !== undefined && !sameState(observed, desired)
+    if (observed && isSameState(observed, desired)) reached.set(id, desired)
+    const wasReached = last !== undefined && isSameState(last, desired)
+    return (
+      wasReached && observed !== undefined && !isSameState(observed, desired)
+    )
   }
 
-  async function observe(): Promise<OrderedTarget[]> {
+  async function observe(): Promise<ManagedTarget[]> {
     const ordered = Object.entries(configuration().targets)
     const found = ordered.map(async ([id, target]) => {
       const { address, desired, service } = target
@@ -139,7 +141,7 @@
     for (const target of drainingSince.keys()) {
       if (wanted.has(target) || sending.has(target)) continue
       drainingSince.delete(target)
-      returnsAtMs.set(target, now() + LEAVING_TTL_MS + DRAIN_SPREAD_MS)
+      returnsAtMs.set(target, now() + LEAVING_TTL_MS + DRAIN_PROPAGATION_MS)
     }
     options.announce([...drainingSince.keys()])
   }
--- a/packages/daemon/src/node/peers/createPeerClient.ts
+++ b/packages/daemon/src/node/peers/createPeerClient.ts
@@ -1,9 +1,9 @@
 import { Agent } from 'node:http'
 import type {
-  CollectAsk,
-  CollectReply,
-  GrantAsk,
-  GrantReply,
+  CollectRequest,
+  CollectResponse,
+  GrantRequest,
+  GrantResponse,
 } from '@auburnbay/core'
 import { createNodeFetch, type TrafficCount } from '@auburnbay/http-utils'
 import { createTRPCClient, httpBatchLink, type TRPCClient } from '@trpc/client'
@@ -31,9 +31,9 @@
     since: ConfigurationSince,
   ): Promise<ConfigurationTransfer>
   /** Asks a group's home for places; rejects when it does not answer. */
-  grant(address: string, ask: GrantAsk): Promise<GrantReply>
+  grant(address: string, ask: GrantRequest): Promise<GrantResponse>
   /** Asks for a router's counts; rejects when it does not answer. */
-  collect(address: string, ask: CollectAsk): Promise<CollectReply>
+  collect(address: string, ask: CollectRequest): Promise<CollectResponse>
   close(): void
 }
 
--- a/packages/daemon/src/node/peers/peerApi.ts
+++ b/packages/daemon/src/node/peers/peerApi.ts
@@ -5,10 +5,10 @@
   type ConfigurationTransfer,
 } from '../configuration/configurationTransfer.js'
 import type {
-  CollectAsk,
-  CollectReply,
-  GrantAsk,
-  GrantReply,
+  CollectRequest,
+  CollectResponse,
+  GrantRequest,
+  GrantResponse,
 } from '@auburnbay/core'
 import { collectAskSchema, grantAskSchema } from './grantSchemas.js'
 import { type Heartbeat, heartbeatSchema } from './heartbeat.js'
@@ -27,9 +27,9 @@
     since: ConfigurationSince,
   ): ConfigurationTransfer | undefined
   /** Takes a request for places as the home of its group. */
-  onGrant(ask: GrantAsk): GrantReply
+  onGrant(ask: GrantRequest): GrantResponse
   /** Tells a new home what is in flight from here. */
-  onCollect(ask: CollectAsk): CollectReply
+  onCollect(ask: CollectRequest): CollectResponse
 }
 
 /** Creates the procedures that routers offer each other. */
--- a/packages/daemon/src/node/routing/createFleetView.ts
+++ b/packages/daemon/src/node/routing/createFleetView.ts
@@ -1,10 +1,10 @@
 import {
   type Configuration,
   createFlapDamper,
-  createViewGuard,
-  homeRouter,
+  createTargetListGuard,
+  selectCoordinator,
   MemberState,
-  type ViewGuard,
+  type TargetListGuard,
   type VmEntry,
 } from '@auburnbay/core'
 import type { Membership } from '../membership/createMembership.js'
@@ -34,7 +34,7 @@
 
 /** Creates the view; a suspect VM list and flapping targets are damped. */
 export function createFleetView(options: FleetViewOptions): FleetView {
-  const guards = new Map<string, ViewGuard>()
+  const guards = new Map<string, TargetListGuard>()
   const damper = createFlapDamper()
   const homes = new Map<string, string | undefined>()
   let accepted = new Set<string>()
@@ -44,10 +44,10 @@
   const everListed = new Set<string>()
   let seenVms: readonly VmEntry[] | undefined
 
-  function guardOf(service: string): ViewGuard {
+  function guardOf(service: string): TargetListGuard {
     const guard = guards.get(service)
     if (guard) return guard
-    const created = createViewGuard({ maxVanished: options.maxVanished })
+    const created = createTargetListGuard({ maxVanished: options.maxVanished })
     guards.set(service, created)
     return created
   }
@@ -77,7 +77,8 @@
   return {
     routers: () => routers,
     homeOf(groupId) {
-      if (!homes.has(groupId)) homes.set(groupId, homeRouter(groupId, routers))
+      if (!homes.has(groupId))
+        homes.set(groupId, selectCoordinator(groupId, routers))
       return homes.get(groupId)
     },
     listed(targetId) {
@@ -98,7 +99,7 @@
         for (const id of targets.keys()) {
           if (known.has(id)) everListed.add(id)
           const there = next.has(id) && !leaving.has(id)
-          if (!damper.note(id, there, nowMs)) next.delete(id)
+          if (!damper.update(id, there, nowMs)) next.delete(id)
         }
       }
       accepted = next
--- a/packages/daemon/src/node/routing/createGroupTask.ts
+++ b/packages/daemon/src/node/routing/createGroupTask.ts
@@ -1,17 +1,17 @@
 import {
-  type CollectAsk,
-  type CollectReply,
-  createGrantHolder,
-  createGroupHome,
-  createGroupPlacer,
-  createLevelShares,
-  type GrantAsk,
-  type GrantReply,
-  HOME_RETRY_MS,
-  type LedgerView,
-  type Placed,
-  type PlacerView,
-  type PlaceWant,
+  type CollectRequest,
+  type CollectResponse,
+  createCreditPool,
+  createGroupCoordinator,
+  createGroupTargetSelector,
+  createFallbackQuota,
+  type GrantRequest,
+  type GrantResponse,
+  COORDINATOR_RETRY_MS,
+  type LedgerContext,
+  type TargetSelection,
+  type SelectionContext,
+  type PlacementRequest,
   type TargetGroup,
 } from '@auburnbay/core'
 import type { PeerClient } from '../peers/createPeerClient.js'
@@ -35,7 +35,7 @@
   /** Target that holds a chat, as far as the home knows. */
   readonly indexed: (key: string) => string | undefined
   /** Called for each decision. */
-  readonly onPlaced: (placed: Placed) => void
+  readonly onPlaced: (placed: TargetSelection) => void
 }
 
 /** A digest of all routers for one group. */
@@ -52,12 +52,12 @@
   readonly granting: boolean
   /** When a place on the group was last asked for here, on the monotonic clock. */
   readonly askedAtMs: number
-  place(want: PlaceWant): Promise<Placed>
+  place(want: PlacementRequest): Promise<TargetSelection>
   /** Counts a request that is already in flight. */
   adopt(index: number): void
   finished(index: number): void
-  ask(ask: GrantAsk): GrantReply
-  collect(ask: CollectAsk): CollectReply
+  ask(ask: GrantRequest): GrantResponse
+  collect(ask: CollectRequest): CollectResponse
   /** Takes in the view and sends what is due. */
   update(): void
   refresh(digest: GroupDigest): void
@@ -66,12 +66,17 @@
 /** Creates the task of one group. */
 export function createGroupTask(options: GroupTaskOptions): GroupTask {
   const { group, router, view, client, now } = options
-  const holder = createGrantHolder(options)
-  const shares = createLevelShares(group, router)
+  const holder = createCreditPool(options)
+  const shares = createFallbackQuota(group, router)
   const { homeLimitMs } = options
-  const placer = createGroupPlacer({ group, holder, shares, homeLimitMs })
-  const home = createGroupHome({ group, router })
-  const waiting = new Map<number, (placed: Placed) => void>()
+  const placer = createGroupTargetSelector({
+    group,
+    creditPool: holder,
+    fallbackQuota: shares,
+    coordinatorTimeoutMs: homeLimitMs,
+  })
+  const home = createGroupCoordinator({ group, router })
+  const waiting = new Map<number, (placed: TargetSelection) => void>()
   let lastRequest = 0
   let askedAtMs = -Infinity
 
@@ -80,13 +85,18 @@
     return id !== undefined && options.eligible(id)
   }
 
-  function placerView(): PlacerView {
+  function placerView(): SelectionContext {
     const homeId = view.homeOf(group.id)
     const isHome = homeId === router
-    return { nowMs: now(), homeKnown: homeId !== undefined, isHome, eligible }
+    return {
+      nowMs: now(),
+      hasCoordinator: homeId !== undefined,
+      isCoordinator: isHome,
+      eligible,
+    }
   }
 
-  function ledgerView(): LedgerView {
+  function ledgerView(): LedgerContext {
     return {
       nowMs: now(),
       maxLoadFactor: options.maxLoadFactor(),
@@ -96,14 +106,14 @@
     }
   }
 
-  function settle(all: readonly Placed[]): void {
+  function settle(all: readonly TargetSelection[]): void {
     for (const placed of all) {
       waiting.get(placed.requestId)?.(placed)
       waiting.delete(placed.requestId)
     }
   }
 
-  function withHints(ask: GrantAsk): GrantAsk {
+  function withHints(ask: GrantRequest): GrantRequest {
     const wants = ask.wants.map((want) => {
       if (want.hint !== undefined) return want
       const id = options.indexed(want.key)
@@ -113,57 +123,59 @@
     return { ...ask, wants }
   }
 
-  function answerAsk(ask: GrantAsk): GrantReply {
+  function answerAsk(ask: GrantRequest): GrantResponse {
     if (ask.wants.length > 0) askedAtMs = now()
-    return home.ask(withHints(ask), ledgerView())
+    return home.handleGrantRequest(withHints(ask), ledgerView())
   }
 
   function send(): void {
-    const ask = placer.nextAsk(placerView())
+    const ask = placer.nextGrantRequest(placerView())
     if (!ask) return
     const to = view.homeOf(group.id)
     if (to === router) {
-      settle(placer.answered(ask.sequence, answerAsk(ask), placerView()))
+      settle(
+        placer.applyGrantResponse(ask.sequence, answerAsk(ask), placerView()),
+      )
       sendLater()
       return
     }
     const address = to === undefined ? undefined : options.addressOf(to)
     if (address === undefined) {
-      settle(placer.failed(ask.sequence, placerView()))
+      settle(placer.handleGrantFailure(ask.sequence, placerView()))
       return
     }
     client.grant(address, ask).then(
       (reply) => {
-        settle(placer.answered(ask.sequence, reply, placerView()))
+        settle(placer.applyGrantResponse(ask.sequence, reply, placerView()))
         send()
         sendLater()
       },
       () => {
-        settle(placer.failed(ask.sequence, placerView()))
+        settle(placer.handleGrantFailure(ask.sequence, placerView()))
       },
     )
   }
 
   function sendLater(): void {
-    if (waiting.size > 0) setTimeout(send, 2 * HOME_RETRY_MS)
+    if (waiting.size > 0) setTimeout(send, 2 * COORDINATOR_RETRY_MS)
   }
 
   function expire(): void {
-    settle(placer.expire(placerView()))
+    settle(placer.expireWaiting(placerView()))
     const next = placer.nextExpiryMs
     if (next !== undefined) setTimeout(expire, Math.max(1, next - now()))
   }
 
-  function collectFrom(to: string, ask: CollectAsk): void {
+  function collectFrom(to: string, ask: CollectRequest): void {
     if (to === router) {
-      home.collected(holder.collect(ask), now())
+      home.applyCollectResponse(holder.handleCollectRequest(ask), now())
       return
     }
     const address = options.addressOf(to)
     if (address === undefined) return
     client.collect(address, ask).then(
       (reply) => {
-        home.collected(reply, now())
+        home.applyCollectResponse(reply, now())
       },
       () => undefined,
     )
@@ -181,11 +193,11 @@
       lastRequest += 1
       const requestId = lastRequest
       return new Promise((resolve) => {
-        const settled = (placed: Placed): void => {
+        const settled = (placed: TargetSelection): void => {
           options.onPlaced(placed)
           resolve(placed)
         }
-        const placed = placer.request(requestId, want, placerView())
+        const placed = placer.select(requestId, want, placerView())
         if (placed) {
           settled(placed)
           return
@@ -196,20 +208,25 @@
       })
     },
     adopt: (index) => {
-      holder.take(index)
+      holder.addInFlight(index)
     },
     finished(index) {
-      placer.finished(index)
+      placer.release(index)
       send()
     },
     ask: answerAsk,
-    collect: (ask) => holder.collect(ask),
+    collect: (ask) => holder.handleCollectRequest(ask),
     update() {
       const routers = view.routers()
       const { epoch } = holder
       const homeId = view.homeOf(group.id)
-      const calls = home.update({ home: homeId, routers, epoch, nowMs: now() })
-      for (const { to, ask } of calls) collectFrom(to, ask)
+      const calls = home.update({
+        coordinator: homeId,
+        routers,
+        epoch,
+        nowMs: now(),
+      })
+      for (const { to, request: ask } of calls) collectFrom(to, ask)
       send()
     },
     refresh({ known, ageMs }) {
@@ -218,7 +235,7 @@
       const routers = view.routers()
       shares.refresh({
         routers,
-        known,
+        knownLoads: known,
         ageMs,
         maxAgeMs,
         maxLoadFactor,
--- a/packages/daemon/src/node/routing/createGroupTasks.ts
+++ b/packages/daemon/src/node/routing/createGroupTasks.ts
@@ -1,8 +1,8 @@
 import type {
-  GrantAsk,
-  CollectAsk,
-  CollectReply,
-  GrantReply,
+  GrantRequest,
+  CollectRequest,
+  CollectResponse,
+  GrantResponse,
   TargetGroup,
 } from '@auburnbay/core'
 import { GrantStatus } from '@auburnbay/core'
@@ -14,8 +14,8 @@
   all(): readonly GroupTask[]
   /** Ends the tasks of groups that are no longer there. */
   keep(groups: readonly TargetGroup[]): void
-  onGrant(ask: GrantAsk): GrantReply
-  onCollect(ask: CollectAsk): CollectReply
+  onGrant(ask: GrantRequest): GrantResponse
+  onCollect(ask: CollectRequest): CollectResponse
 }
 
 /** Creates tasks on demand; a group with other members gets a new task. */
@@ -45,7 +45,12 @@
       const task = tasks.get(ask.group)
       if (task) return task.ask(ask)
       const granted = ask.wants.map(() => -1)
-      return { status: GrantStatus.NotHome, epoch: 0, granted, loans: [] }
+      return {
+        status: GrantStatus.NotCoordinator,
+        epoch: 0,
+        granted,
+        loans: [],
+      }
     },
     onCollect(ask) {
       const task = tasks.get(ask.group)
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -33,7 +33,7 @@
 import { createStatus } from './createStatus.js'
 import { homeTargets } from './homeTargets.js'
 import { findHint } from './findHint.js'
-import type { HomeRouting, Placement, Routing } from './routing.js'
+import type { CoordinatorRouting, TargetSlot, Routing } from './routing.js'
 
 /** What the choice of targets works with. */
 export interface RoutingOptions {
@@ -57,7 +57,7 @@
 const REPORTS_AFTER_USE = 3
 
 /** Creates routing by grants of each group's home router. */
-export function createRouting(options: RoutingOptions): HomeRouting {
+export function createRouting(options: RoutingOptions): CoordinatorRouting {
   const { settings, incarnation, configuration, membership, metrics, now } =
     options
   const router = settings.router.id
@@ -159,7 +159,7 @@
     request: RoutedRequest,
     target: GroupedTarget,
     group: TargetGroup,
-  ): Placement {
+  ): TargetSlot {
     let released = false
     inFlight.add(target.id, 1)
     // A task made while the request waited has not counted it.
@@ -235,7 +235,7 @@
       return tasks.onGrant(ask)
     },
     onCollect: (ask) => tasks.onCollect(ask),
-    homeTargets: (resting) =>
+    coordinatedTargets: (resting) =>
       homeTargets(
         configuration,
         tables,
--- a/packages/daemon/src/node/routing/createWant.ts
+++ b/packages/daemon/src/node/routing/createWant.ts
@@ -1,4 +1,4 @@
-import type { PlaceWant, TargetGroup } from '@auburnbay/core'
+import type { PlacementRequest, TargetGroup } from '@auburnbay/core'
 import type { GroupedTarget } from './createServiceTables.js'
 
 /** Creates what a request asks of a group. */
@@ -7,7 +7,7 @@
   key: string,
   hint: GroupedTarget | undefined,
   barred: (targetId: string) => boolean,
-): PlaceWant {
+): PlacementRequest {
   const exclude: number[] = []
   for (const [index, { id }] of group.members.entries())
     if (barred(id)) exclude.push(index)
--- a/packages/daemon/src/node/routing/findHint.ts
+++ b/packages/daemon/src/node/routing/findHint.ts
@@ -1,4 +1,4 @@
-import { readHint, ServiceKind } from '@auburnbay/core'
+import { verifyHint, ServiceKind } from '@auburnbay/core'
 import type { RoutedRequest } from '../callers/routedRequest.js'
 
 /** Returns the target that a request's own genuine hint names. */
@@ -8,5 +8,5 @@
 ): string | undefined {
   const { customer, service, chat, hint, serviceKind } = request
   if (serviceKind !== ServiceKind.Model || chat === '') return undefined
-  return readHint(secret, { customer, service, chat }, hint)
+  return verifyHint(secret, { customer, service, chat }, hint)
 }
--- a/packages/daemon/src/node/routing/routing.ts
+++ b/packages/daemon/src/node/routing/routing.ts
@@ -1,8 +1,8 @@
 import type {
-  CollectAsk,
-  CollectReply,
-  GrantAsk,
-  GrantReply,
+  CollectRequest,
+  CollectResponse,
+  GrantRequest,
+  GrantResponse,
   RequestFailure,
 } from '@auburnbay/core'
 import type { Result } from 'neverthrow'
@@ -11,7 +11,7 @@
 import type { RoutingExplanation } from './routingExplanation.js'
 
 /** A request's place on a target; counts as load until it is released. */
-export interface Placement {
+export interface TargetSlot {
   readonly target: TargetAddress
   /** Hint that the caller sends with the chat's next request. */
   readonly hint?: string
@@ -35,7 +35,7 @@
   place(
     request: RoutedRequest,
     exclude: ReadonlySet<string>,
-  ): Promise<Result<Placement, RequestFailure>>
+  ): Promise<Result<TargetSlot, RequestFailure>>
   status(): TargetStatus[]
   /** Says where the chat's next request would go and why; places nothing. */
   explain(service: string, customer: string, chat: string): RoutingExplanation
@@ -44,10 +44,10 @@
 }
 
 /** Routing that also serves other routers as the home of groups. */
-export interface HomeRouting extends Routing {
-  onGrant(ask: GrantAsk): GrantReply
-  onCollect(ask: CollectAsk): CollectReply
+export interface CoordinatorRouting extends Routing {
+  onGrant(ask: GrantRequest): GrantResponse
+  onCollect(ask: CollectRequest): CollectResponse
   /** Engines of the groups that this router is the home of; `resting` adds those of groups out of use. */
-  homeTargets(resting: boolean): readonly TargetAddress[]
+  coordinatedTargets(resting: boolean): readonly TargetAddress[]
   stop(): Promise<void>
 }
--- a/packages/daemon/src/node/targets/createTargetClient.ts
+++ b/packages/daemon/src/node/targets/createTargetClient.ts
@@ -13,7 +13,7 @@
 import {
   ConnectionPool,
   exchange,
-  type ExchangeCall,
+  type ExchangeOptions,
   ExchangeError,
   type ExchangeFailure,
   requestJson,
@@ -34,7 +34,7 @@
 
 const CODES: Readonly<Record<ExchangeError, FailureCode>> = {
   [ExchangeError.Broken]: FailureCode.TargetUnreachable,
-  [ExchangeError.Silent]: FailureCode.TargetTimeout,
+  [ExchangeError.TimedOut]: FailureCode.TargetTimeout,
   [ExchangeError.Aborted]: FailureCode.DeadlinePassed,
 }
 
@@ -88,27 +88,30 @@
       body,
       chunks: () =>
         readInTime(body, settings.idleTimeoutMs, () => {
-          pool.condemn(target.address)
+          pool.retireConnections(target.address)
         }),
     }
   }
 
   async function call(
     target: TargetAddress,
-    options: Omit<ExchangeCall, 'url' | 'limits'> & { path: string },
+    options: Omit<ExchangeOptions, 'url' | 'limits'> & { path: string },
   ): Promise<Result<IncomingMessage, TargetFailure>> {
     const result = await exchange({
       ...options,
       url: `http://${target.address}${options.path}`,
       limits: settings,
       onSocket: (socket) => {
-        pool.note(socket, target.address)
+        pool.recordConnection(socket, target.address)
       },
     })
     if (result.isOk()) return ok(result.value)
     const { error, progress } = result.error
-    if (error === ExchangeError.Silent && progress === AttemptProgress.Written)
-      pool.condemn(target.address)
+    if (
+      error === ExchangeError.TimedOut &&
+      progress === AttemptProgress.Written
+    )
+      pool.retireConnections(target.address)
     return err(describeFailure(target, result.error))
   }
 
--- a/packages/http-utils/src/node/connectionPool.ts
+++ b/packages/http-utils/src/node/connectionPool.ts
@@ -26,7 +26,7 @@
   }
 
   /** Records a connection that a request has been given. */
-  note(socket: Duplex, address: string): void {
+  recordConnection(socket: Duplex, address: string): void {
     if (this.origins.has(socket)) return
     this.opened += 1
     this.origins.set(socket, { address, number: this.opened })
@@ -36,7 +36,7 @@
   }
 
   /** Closes every connection to `address` that was opened up to now. */
-  condemn(address: string): void {
+  retireConnections(address: string): void {
     this.condemnedUpTo.set(address, this.opened)
     for (const socket of this.idle.get(address) ?? []) socket.destroy()
   }
--- a/packages/http-utils/src/node/exchange.ts
+++ b/packages/http-utils/src/node/exchange.ts
@@ -17,7 +17,7 @@
 }
 
 /** One request on one connection. */
-export interface ExchangeCall {
+export interface ExchangeOptions {
   readonly url: string
   /** Sent as it is; without it the path of `url`. */
   readonly path?: string
@@ -36,7 +36,7 @@
   /** The connection could not be opened, broke or sent no valid HTTP. */
   Broken = 'broken',
   /** The target was silent beyond a limit. */
-  Silent = 'silent',
+  TimedOut = 'silent',
   /** The caller went away or the deadline passed. */
   Aborted = 'aborted',
 }
@@ -60,7 +60,7 @@
 
 /** Sends a request and resolves with the head of its answer. */
 export function exchange(
-  call: ExchangeCall,
+  call: ExchangeOptions,
 ): Promise<Result<IncomingMessage, ExchangeFailure>> {
   const { url, path, method, headers, body, signal, agent, limits } = call
   return new Promise((resolve) => {
@@ -85,7 +85,7 @@
     }
 
     function errorKind(): ExchangeError {
-      if (silent) return ExchangeError.Silent
+      if (silent) return ExchangeError.TimedOut
       return signal.aborted ? ExchangeError.Aborted : ExchangeError.Broken
     }
 
--- a/packages/http-utils/src/node/requestBytes.ts
+++ b/packages/http-utils/src/node/requestBytes.ts
@@ -22,7 +22,7 @@
 }
 
 /** A call that brought no whole answer; it may still have taken effect. */
-export interface CallError {
+export interface RequestError {
   readonly message: string
 }
 
@@ -33,7 +33,7 @@
 /** Sends a request and reads the whole answer. */
 export function requestBytes(
   call: BytesCall,
-): Promise<Result<BytesReply, CallError>> {
+): Promise<Result<BytesReply, RequestError>> {
   return new Promise((resolve) => {
     const givenUp = new AbortController()
     const giveUp = (): void => {
@@ -45,7 +45,7 @@
       idle = setTimeout(giveUp, call.timeoutMs)
     }
     const whole = setTimeout(giveUp, MAX_TIMEOUTS * call.timeoutMs)
-    const end = (result: Result<BytesReply, CallError>): void => {
+    const end = (result: Result<BytesReply, RequestError>): void => {
       clearTimeout(idle)
       clearTimeout(whole)
       resolve(result)
--- a/packages/http-utils/src/node/requestJson.ts
+++ b/packages/http-utils/src/node/requestJson.ts
@@ -1,5 +1,9 @@
 import { err, ok, type Result } from 'neverthrow'
-import { type BytesCall, type CallError, requestBytes } from './requestBytes.js'
+import {
+  type BytesCall,
+  type RequestError,
+  requestBytes,
+} from './requestBytes.js'
 
 /** A small JSON call over HTTP. */
 export interface JsonCall extends Omit<BytesCall, 'body'> {
@@ -7,7 +11,7 @@
 }
 
 /** A JSON answer. */
-export interface JsonReply {
+export interface JsonResponse {
   readonly status: number
   readonly body: unknown
 }
@@ -19,7 +23,7 @@
 /** Sends a JSON request and reads the JSON answer. */
 export async function requestJson(
   call: JsonCall,
-): Promise<Result<JsonReply, CallError>> {
+): Promise<Result<JsonResponse, RequestError>> {
   const { body, headers, ...rest } = call
   const isEmpty = body === undefined
   const reply = await requestBytes({
--- a/packages/measure/src/node/limits/limitMeter.ts
+++ b/packages/measure/src/node/limits/limitMeter.ts
@@ -1,4 +1,4 @@
-import { createRateWindow, rateLimit } from '@auburnbay/core'
+import { createRateWindow, toRateLimit } from '@auburnbay/core'
 
 /** What a limit counts, at one router or over the fleet. */
 export interface LimitMeter {
@@ -77,7 +77,7 @@
 
 /** Limits admissions a second. */
 export function rateLimitOf(ratePerS: number): MeasuredLimit {
-  const { count, windowMs } = rateLimit(ratePerS)
+  const { count, windowMs } = toRateLimit(ratePerS)
   return {
     name: `rate-${ratePerS}`,
     limit: count,
--- a/packages/measure/src/node/limits/queuePolicy.ts
+++ b/packages/measure/src/node/limits/queuePolicy.ts
@@ -2,7 +2,7 @@
   createMeanRunTime,
   createRequestQueue,
   queueCapacity,
-  reservedPlaces,
+  reservedSlots,
 } from '@auburnbay/core'
 import type { TraceRequest } from './createTrace.js'
 
@@ -71,21 +71,21 @@
     ageingMs: AGEING_MS,
     shareHalfLifeMs: SHARE_HALF_LIFE_MS,
   })
-  const reserved = reservedPlaces(places, urgentShare)
+  const reserved = reservedSlots(places, urgentShare)
   return {
     ran: (runMs) => {
       rule.ran(runMs)
     },
     offer(request) {
       rule.changed(request.enqueuedAtMs, queue.size + 1)
-      return queue.offer(request)
+      return queue.enqueue(request)
     },
     take(nowMs, running) {
       if (running >= places) return undefined
       const taken =
         running < places - reserved
-          ? queue.take(nowMs)
-          : queue.takeUrgent(nowMs)
+          ? queue.dequeue(nowMs)
+          : queue.dequeueUrgent(nowMs)
       rule.changed(nowMs, queue.size)
       return taken
     },
--- a/packages/measure/src/node/limits/runRetries.ts
+++ b/packages/measure/src/node/limits/runRetries.ts
@@ -89,7 +89,7 @@
     const order = rendezvousOrder(`chat-${index}`, targets)
     const tried = new Set<string>()
     counts.firstTries += 1
-    budget.firstTry()
+    budget.recordFirstAttempt()
     let mayHaveRun = false
     for (let tries = 1; tries <= MAX_TRIES; tries += 1) {
       const target = order.find(
@@ -100,10 +100,10 @@
       if (!target) return
       tried.add(target.id)
       if (tries > 1 && mayHaveRun && !idempotent) counts.unsafeRetries += 1
-      const isProbe = health.started(target.id, nowMs)
+      const isProbe = health.recordStart(target.id, nowMs)
       const { Success, Failure } = TargetOutcome
       const outcome = target.down ? Failure : Success
-      health.record(target.id, outcome, nowMs, isProbe)
+      health.recordOutcome(target.id, outcome, nowMs, isProbe)
       noteEjected(nowMs)
       if (!target.down) {
         answered += 1
@@ -115,7 +115,7 @@
       if (tries === MAX_TRIES) return
       if (options.budgeted) {
         if (!mayRetry({ verdict, idempotent, abandoned: false })) return
-        if (!budget.takeRetry()) return
+        if (!budget.consumeRetry()) return
       }
       counts.retries += 1
     }
--- a/packages/measure/src/node/placing/measureDigests.ts
+++ b/packages/measure/src/node/placing/measureDigests.ts
@@ -1,7 +1,7 @@
-import { DIGEST_MS, MAX_TOLD } from '@auburnbay/router/constants'
-import { encodeWork } from '@auburnbay/router/peers/digestWork'
+import { DIGEST_INTERVAL_MS, DIGEST_FANOUT } from '@auburnbay/router/constants'
+import { encodeLoad } from '@auburnbay/router/peers/digestLoad'
 import { encodeDigest } from '@auburnbay/router/peers/peerDigest'
-import type { TargetWork } from '@auburnbay/router/routing/targetWork'
+import type { TargetLoad } from '@auburnbay/router/routing/targetLoad'
 import type { Figure } from '../figure.js'
 import { CONTROL_BYTES_PER_S } from './constants.js'
 
@@ -13,9 +13,9 @@
 
 function digestBytes(targets: number): number {
   const ids = Array.from({ length: targets }, (_, i) => `i-00000000${i}`)
-  const work = new Map<string, TargetWork>()
+  const work = new Map<string, TargetLoad>()
   for (const [i, id] of ids.entries())
-    if (i % 2 === 0) work.set(id, { requests: 3, unreadTokens: 1_300 })
+    if (i % 2 === 0) work.set(id, { requests: 3, pendingPromptTokens: 1_300 })
   const placements = ids
     .slice(0, PLACED)
     .map((id, i) => [`5c1e07a${i}`, id] as const)
@@ -30,17 +30,17 @@
     targetsReadMs: 100,
     targetsAgeMs: 100,
     stopping: false,
-    ...encodeWork(ids, work, placements),
+    ...encodeLoad(ids, work, placements),
   })
   return digest.length + HEADER_BYTES
 }
 
 function measureFleet(routers: number, targets: number): Figure {
-  const told = Math.min(MAX_TOLD, routers - 1)
+  const told = Math.min(DIGEST_FANOUT, routers - 1)
   const bytes = digestBytes(targets)
   return {
     measure: `placing.digests-${routers}-routers`,
-    value: (bytes * told * MS_PER_S) / DIGEST_MS,
+    value: (bytes * told * MS_PER_S) / DIGEST_INTERVAL_MS,
     unit: `bytes/s sent by each router, ${targets} targets, with headers`,
     bound: CONTROL_BYTES_PER_S,
   }
--- a/packages/measure/src/node/placing/placingWay.ts
+++ b/packages/measure/src/node/placing/placingWay.ts
@@ -1,6 +1,6 @@
-import type { NewsBatches } from '@auburnbay/router/peers/createNewsBatches'
+import type { PendingUpdates } from '@auburnbay/router/peers/createPendingUpdates'
 import type { FleetLoad } from '@auburnbay/router/routing/createFleetLoad'
-import type { Placements } from '@auburnbay/router/routing/createPlacements'
+import type { CacheLocations } from '@auburnbay/router/routing/createCacheLocations'
 
 /** How routers in a trace learn of each other's work. */
 export enum PlacingWay {
@@ -15,7 +15,7 @@
 /** What one router knows. */
 export interface RouterMemory {
   readonly load: FleetLoad
-  readonly placements: Placements
+  readonly placements: CacheLocations
   /** Placements that peers have not all heard of. */
-  readonly news: NewsBatches
+  readonly news: PendingUpdates
 }
--- a/packages/measure/src/node/placing/simulatePlacing.ts
+++ b/packages/measure/src/node/placing/simulatePlacing.ts
@@ -1,8 +1,12 @@
-import { DIGEST_MS, MAX_TOLD, STALE_DIGESTS } from '@auburnbay/router/constants'
-import { createNewsBatches } from '@auburnbay/router/peers/createNewsBatches'
-import { choosePlace } from '@auburnbay/router/routing/choosePlace'
+import {
+  DIGEST_INTERVAL_MS,
+  DIGEST_FANOUT,
+  MAX_LOST_DIGESTS,
+} from '@auburnbay/router/constants'
+import { createPendingUpdates } from '@auburnbay/router/peers/createPendingUpdates'
+import { selectTarget } from '@auburnbay/router/routing/selectTarget'
 import { createFleetLoad } from '@auburnbay/router/routing/createFleetLoad'
-import { createPlacements } from '@auburnbay/router/routing/createPlacements'
+import { createCacheLocations } from '@auburnbay/router/routing/createCacheLocations'
 import type { Target } from '@auburnbay/router/targets/target'
 import { createEventQueue } from '../routing/bench/createEventQueue.js'
 import { createRandom } from '../routing/bench/createRandom.js'
@@ -39,15 +43,15 @@
 
 /** Digests until a router has told every peer once. */
 const tellingsOf = ({ routers }: PlacingTrace): number =>
-  Math.ceil((routers - 1) / MAX_TOLD)
+  Math.ceil((routers - 1) / DIGEST_FANOUT)
 
 function createMemory(trace: PlacingTrace): RouterMemory {
-  const placements = createPlacements(MAX_PROMPTS)
-  const staleMs = STALE_DIGESTS * DIGEST_MS * tellingsOf(trace)
+  const placements = createCacheLocations(MAX_PROMPTS)
+  const staleMs = MAX_LOST_DIGESTS * DIGEST_INTERVAL_MS * tellingsOf(trace)
   return {
     load: createFleetLoad(() => staleMs),
     placements,
-    news: createNewsBatches(() => placements.takeNews()),
+    news: createPendingUpdates(() => placements.takeUpdates()),
   }
 }
 
@@ -82,13 +86,13 @@
     const durationMs = random.exponential(trace.requestMs)
     if (!memory) return
     const { load, placements } = memory
-    const target = choosePlace({
+    const target = selectTarget({
       targets,
-      work: (id) => load.total(id, queue.nowMs),
+      load: (id) => load.total(id, queue.nowMs),
       affinity: key,
       promptTokens: trace.promptTokens,
-      holders: placements.holders(key),
-      spread: String(result.requests),
+      cachedOn: placements.cachedOn(key),
+      tieBreaker: String(result.requests),
     })
     if (!target) return
     const { id } = target
@@ -99,12 +103,12 @@
     read.add(cached)
     inFlight.set(id, (inFlight.get(id) ?? 0) + 1)
     if (isOver(id)) result.over += 1
-    load.started(id, tokens)
-    placements.placed(key, id)
+    load.recordStart(id, tokens)
+    placements.add(key, id)
     queue.at(queue.nowMs + durationMs, () => {
       inFlight.set(id, (inFlight.get(id) ?? 0) - 1)
-      load.read(id, tokens)
-      load.ended(id)
+      load.releasePromptTokens(id, tokens)
+      load.recordEnd(id)
     })
   }
 
@@ -113,8 +117,8 @@
   /** Returns the peers that the next digest of a router goes to. */
   function peersInTurn(from: number): number[] {
     const peers = memories.map((_, to) => to).filter((to) => to !== from)
-    const first = (turn * MAX_TOLD) % peers.length
-    const most = Math.min(MAX_TOLD, peers.length)
+    const first = (turn * DIGEST_FANOUT) % peers.length
+    const most = Math.min(DIGEST_FANOUT, peers.length)
     return [...peers, ...peers].slice(first, first + most)
   }
 
@@ -124,8 +128,8 @@
       const work = new Map(memory.load.own())
       for (const to of peersInTurn(from)) {
         if (lost.unit() < LOST_DIGESTS) continue
-        memories[to]?.placements.heard(news)
-        memories[to]?.load.heard(`router-${from}`, work, queue.nowMs)
+        memories[to]?.placements.merge(news)
+        memories[to]?.load.updatePeer(`router-${from}`, work, queue.nowMs)
       }
     }
     turn += 1
@@ -139,7 +143,7 @@
   }
 
   every(() => random.exponential(1_000 / trace.requestsPerS), arrive)
-  if (way === PlacingWay.Digests) every(() => DIGEST_MS, tell)
+  if (way === PlacingWay.Digests) every(() => DIGEST_INTERVAL_MS, tell)
   queue.at(JOIN_AT_MS, () => {
     for (let i = 0; i < trace.joining; i += 1)
       targets = [...targets, createTarget(100 + i)]
--- a/packages/measure/src/node/routing/bench/ways/createGrantNode.ts
+++ b/packages/measure/src/node/routing/bench/ways/createGrantNode.ts
@@ -1,14 +1,14 @@
 import {
   createFlapDamper,
-  createGrantHolder,
-  createGroupHome,
-  createGroupPlacer,
-  createLevelShares,
+  createCreditPool,
+  createGroupCoordinator,
+  createGroupTargetSelector,
+  createFallbackQuota,
   type FlapDamper,
-  type GrantHolder,
-  type GroupHome,
-  type GroupPlacer,
-  type LevelShares,
+  type CreditPool,
+  type GroupCoordinator,
+  type GroupTargetSelector,
+  type FallbackQuota,
   type TargetGroup,
 } from '@auburnbay/core'
 
@@ -17,10 +17,10 @@
   /** Index of the router. */
   readonly self: number
   readonly router: string
-  readonly holder: GrantHolder
-  readonly shares: LevelShares
-  readonly home: GroupHome
-  readonly placer: GroupPlacer
+  readonly holder: CreditPool
+  readonly shares: FallbackQuota
+  readonly home: GroupCoordinator
+  readonly placer: GroupTargetSelector
   readonly damper: FlapDamper
 }
 
@@ -32,10 +32,19 @@
   loanSize?: number,
 ): GrantNode {
   const router = `router-${self}`
-  const holder = createGrantHolder({ group, router, incarnation: router })
-  const shares = createLevelShares(group, router)
-  const home = createGroupHome({ group, router, loanSize })
-  const placer = createGroupPlacer({ group, holder, shares, homeLimitMs })
+  const holder = createCreditPool({ group, router, incarnation: router })
+  const shares = createFallbackQuota(group, router)
+  const home = createGroupCoordinator({
+    group,
+    router,
+    creditBatchSize: loanSize,
+  })
+  const placer = createGroupTargetSelector({
+    group,
+    creditPool: holder,
+    fallbackQuota: shares,
+    coordinatorTimeoutMs: homeLimitMs,
+  })
   return {
     self,
     router,
--- a/packages/measure/src/node/routing/bench/ways/createGrantWay.ts
+++ b/packages/measure/src/node/routing/bench/ways/createGrantWay.ts
@@ -1,12 +1,12 @@
 import {
-  type CollectCall,
-  type GrantAsk,
-  type GrantReply,
+  type OutgoingCollectRequest,
+  type GrantRequest,
+  type GrantResponse,
   groupTargets,
-  HOME_RETRY_MS,
-  homeRouter,
-  type LedgerView,
-  type Placed,
+  COORDINATOR_RETRY_MS,
+  selectCoordinator,
+  type LedgerContext,
+  type TargetSelection,
   type TargetGroup,
 } from '@auburnbay/core'
 import type { Arrival } from '../createTrace.js'
@@ -94,7 +94,7 @@
     const routers = routersOf(node)
     const key = routers.join()
     if (!homes.has(key)) {
-      const home = homeRouter(group.id, routers)
+      const home = selectCoordinator(group.id, routers)
       homes.set(
         key,
         nodes.find(({ router }) => router === home),
@@ -111,19 +111,19 @@
   function eligible(node: GrantNode, index: number): boolean {
     const listed = fleet.listed(node.self, members[index] ?? -1)
     if (!dampFlaps) return listed
-    return node.damper.note(String(index), listed, fleet.nowMs)
+    return node.damper.update(String(index), listed, fleet.nowMs)
   }
 
   function viewOf(node: GrantNode) {
     return {
       nowMs: fleet.nowMs,
-      homeKnown: true,
-      isHome: homeOf(node) === node,
+      hasCoordinator: true,
+      isCoordinator: homeOf(node) === node,
       eligible: (index: number) => eligible(node, index),
     }
   }
 
-  function ledgerView(node: GrantNode): LedgerView {
+  function ledgerView(node: GrantNode): LedgerContext {
     return {
       nowMs: fleet.nowMs,
       maxLoadFactor: fleet.maxLoadFactor,
@@ -132,7 +132,7 @@
     }
   }
 
-  function carryOut(placed: readonly Placed[]): void {
+  function carryOut(placed: readonly TargetSelection[]): void {
     for (const { requestId, index, source, waitedMs } of placed) {
       const arrival = placing.get(requestId)
       placing.delete(requestId)
@@ -147,8 +147,8 @@
   function count(
     from: GrantNode,
     to: GrantNode,
-    ask: GrantAsk,
-    reply: GrantReply,
+    ask: GrantRequest,
+    reply: GrantResponse,
   ): void {
     tally.exchanges += 1
     tally.payloadBytes +=
@@ -157,13 +157,15 @@
       tally.exchangesOf[self] = (tally.exchangesOf[self] ?? 0) + 1
   }
 
-  function deliver(node: GrantNode, home: GrantNode, ask: GrantAsk): void {
+  function deliver(node: GrantNode, home: GrantNode, ask: GrantRequest): void {
     if (isSilent() || !isAlive(home)) return
-    const reply = home.home.ask(ask, ledgerView(home))
+    const reply = home.home.handleGrantRequest(ask, ledgerView(home))
     const answer = (): void => {
-      carryOut(node.placer.answered(ask.sequence, reply, viewOf(node)))
+      carryOut(
+        node.placer.applyGrantResponse(ask.sequence, reply, viewOf(node)),
+      )
       send(node)
-      fleet.after(HOME_RETRY_MS, send.bind(undefined, node))
+      fleet.after(COORDINATOR_RETRY_MS, send.bind(undefined, node))
     }
     if (home === node) answer()
     else {
@@ -174,23 +176,26 @@
 
   function send(node: GrantNode): void {
     const home = homeOf(node)
-    const ask = home && node.placer.nextAsk(viewOf(node))
+    const ask = home && node.placer.nextGrantRequest(viewOf(node))
     if (!ask) return
     if (home === node) deliver(node, home, ask)
     else fleet.after(hopMs, deliver.bind(undefined, node, home, ask))
     fleet.after(HOME_LIMIT_MS, () => {
-      carryOut(node.placer.expire(viewOf(node)))
-      carryOut(node.placer.failed(ask.sequence, viewOf(node)))
+      carryOut(node.placer.expireWaiting(viewOf(node)))
+      carryOut(node.placer.handleGrantFailure(ask.sequence, viewOf(node)))
     })
   }
 
-  function collect(node: GrantNode, { to, ask }: CollectCall): void {
+  function collect(
+    node: GrantNode,
+    { to, request: ask }: OutgoingCollectRequest,
+  ): void {
     const peer = nodes.find(({ router }) => router === to)
     if (!peer || !isAlive(peer) || isSilent()) return
     fleet.after(peer === node ? 0 : hopMs, () => {
-      const reply = peer.holder.collect(ask)
+      const reply = peer.holder.handleCollectRequest(ask)
       fleet.after(peer === node ? 0 : hopMs, () => {
-        node.home.collected(reply, fleet.nowMs)
+        node.home.applyCollectResponse(reply, fleet.nowMs)
       })
     })
   }
@@ -201,7 +206,7 @@
     const { epoch } = node.holder
     const home = homeOf(node)?.router
     for (const call of node.home.update({
-      home,
+      coordinator: home,
       routers,
       epoch,
       nowMs: fleet.nowMs,
@@ -226,12 +231,12 @@
     const hinted = hints ? fleet.callerHint(arrival) : undefined
     const hint = hinted === undefined ? undefined : indexOf.get(hinted)
     const want = { key: arrival.chat, hint, exclude: [] }
-    const placed = node.placer.request(arrival.id, want, viewOf(node))
+    const placed = node.placer.select(arrival.id, want, viewOf(node))
     if (placed) carryOut([placed])
     else {
       send(node)
       fleet.after(HOME_LIMIT_MS, () => {
-        carryOut(node.placer.expire(viewOf(node)))
+        carryOut(node.placer.expireWaiting(viewOf(node)))
       })
     }
   }
@@ -241,7 +246,7 @@
     ended(arrival: Arrival, target: number): void {
       const node = nodes[arrival.router]
       if (!node) return
-      node.placer.finished(indexOf.get(target) ?? -1)
+      node.placer.release(indexOf.get(target) ?? -1)
       send(node)
     },
   }
--- a/packages/measure/src/node/routing/bench/ways/grantTally.ts
+++ b/packages/measure/src/node/routing/bench/ways/grantTally.ts
@@ -1,8 +1,8 @@
-import type { PlaceSource } from '@auburnbay/core'
+import type { SelectionSource } from '@auburnbay/core'
 
 /** What the grants cost and did, over a whole run. */
 export interface GrantTally {
-  readonly sources: Record<PlaceSource, number>
+  readonly sources: Record<SelectionSource, number>
   /** Longest wait for a decision in milliseconds. */
   longestWaitMs: number
   /** Messages and their answers. */
--- a/packages/measure/src/node/routing/bench/ways/startDigests.ts
+++ b/packages/measure/src/node/routing/bench/ways/startDigests.ts
@@ -22,12 +22,13 @@
     const live = fleet.liveRouters(node.self)
     const known = members.map((_, index) => {
       let total = 0
-      for (const router of live) total += nodes[router]?.holder.used[index] ?? 0
+      for (const router of live)
+        total += nodes[router]?.holder.inFlight[index] ?? 0
       return total
     })
     node.shares.refresh({
       routers: routersOf(node),
-      known,
+      knownLoads: known,
       ageMs: DIGEST_EVERY_MS / 2,
       maxAgeMs: DIGEST_MAX_AGE_MS,
       maxLoadFactor: fleet.maxLoadFactor,
--- a/packages/measure/src/node/routing/measureControl.ts
+++ b/packages/measure/src/node/routing/measureControl.ts
@@ -1,6 +1,6 @@
 import {
-  createGrantHolder,
-  type GrantReply,
+  createCreditPool,
+  type GrantResponse,
   GrantStatus,
   groupTargets,
 } from '@auburnbay/core'
@@ -74,13 +74,17 @@
   }))
   const [group] = groupTargets('model', targets)
   if (!group) throw new Error('a group needs targets')
-  const holder = createGrantHolder({
+  const holder = createCreditPool({
     group,
     router: 'router-1',
     incarnation: '00000000-0000-0000-0000-000000000000/1abcdef',
   })
-  for (let index = 0; index < deployment.targets; index += 1) holder.take(index)
-  return holder.ask([{ key: '1abcdef', hint: 3, exclude: [] }], 0)
+  for (let index = 0; index < deployment.targets; index += 1)
+    holder.addInFlight(index)
+  return holder.createGrantRequest(
+    [{ key: '1abcdef', hint: 3, exclude: [] }],
+    0,
+  )
 }
 
 /** Sends real calls over loopback and counts what went over the sockets. */
@@ -88,7 +92,7 @@
   const resolved = settings()
   const heartbeat = heartbeatOf(deployment)
   const loans = new Array<number>(deployment.targets).fill(0)
-  const reply: GrantReply = {
+  const reply: GrantResponse = {
     status: GrantStatus.Granted,
     epoch: 122_942,
     granted: [3],
--- a/packages/measure/src/node/routing/measureDecision.ts
+++ b/packages/measure/src/node/routing/measureDecision.ts
@@ -1,6 +1,6 @@
 import {
-  createGrantHolder,
-  createGroupHome,
+  createCreditPool,
+  createGroupCoordinator,
   createGroupRing,
   groupTargets,
   rendezvousOrder,
@@ -27,17 +27,19 @@
   const ring = createGroupRing(groups)
   const parts = new Map(
     groups.map((group) => {
-      const home = createGroupHome({ group, router: 'r' })
-      const holder = createGrantHolder({ group, router: 'r', incarnation: 'r' })
+      const home = createGroupCoordinator({ group, router: 'r' })
+      const holder = createCreditPool({ group, router: 'r', incarnation: 'r' })
       const [call] = home.update({
-        home: 'r',
+        coordinator: 'r',
         routers: ['r'],
         epoch: 0,
         nowMs: 0,
       })
-      if (call) home.collected(holder.collect(call.ask), 0)
+      if (call)
+        home.applyCollectResponse(holder.handleCollectRequest(call.request), 0)
       for (let index = 0; index < group.members.length; index += 1)
-        for (let used = 0; used < IN_FLIGHT_EACH; used += 1) holder.take(index)
+        for (let used = 0; used < IN_FLIGHT_EACH; used += 1)
+          holder.addInFlight(index)
       return [group, { home, holder }]
     }),
   )
@@ -52,10 +54,11 @@
     const part = group && parts.get(group)
     if (!group || !part) return
     rendezvousOrder(chat, group.members)
-    const ask = part.holder.ask([{ key: chat, exclude: [] }], 1)
-    const reply = part.home.ask(ask, view)
-    const granted = part.holder.answer(ask.sequence, reply)?.[0] ?? -1
-    if (granted >= 0) part.holder.finish(granted)
+    const ask = part.holder.createGrantRequest([{ key: chat, exclude: [] }], 1)
+    const reply = part.home.handleGrantRequest(ask, view)
+    const granted =
+      part.holder.applyGrantResponse(ask.sequence, reply)?.[0] ?? -1
+    if (granted >= 0) part.holder.removeInFlight(granted)
   }
   return { decide, ringBytes: ring.bytes }
 }
--- a/packages/measure/src/node/state/faultyLog.ts
+++ b/packages/measure/src/node/state/faultyLog.ts
@@ -1,8 +1,8 @@
-import type { ConfigurationPage, PlacedRecord } from '@auburnbay/core'
+import type { ConfigurationPage, ConfigurationLogRecord } from '@auburnbay/core'
 
 /** A log in memory whose faults a schedule brings about. */
 export class FaultyLog {
-  private records: PlacedRecord[] = []
+  private records: ConfigurationLogRecord[] = []
   private first = 0
   private generation = 1
 
--- a/packages/measure/src/node/state/fleetOfRouters.ts
+++ b/packages/measure/src/node/state/fleetOfRouters.ts
@@ -1,7 +1,7 @@
-import { digestPeers, type RouterPlace } from '@auburnbay/core'
+import { chooseDigestPeers, type RouterLocation } from '@auburnbay/core'
 
 /** Creates routers spread evenly over data centres. */
-export function createRouters(count: number, places: number): RouterPlace[] {
+export function createRouters(count: number, places: number): RouterLocation[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `router-${index}`,
     dataCentre: `dc-${index % places}`,
@@ -9,10 +9,12 @@
 }
 
 /** Returns the indices that each router sends heartbeats to. */
-export function createPeerLists(routers: readonly RouterPlace[]): number[][] {
+export function createPeerLists(
+  routers: readonly RouterLocation[],
+): number[][] {
   const indices = new Map(routers.map(({ id }, index) => [id, index]))
   return routers.map((router) =>
-    digestPeers(router, routers).map((id) => indices.get(id) ?? 0),
+    chooseDigestPeers(router, routers).map((id) => indices.get(id) ?? 0),
   )
 }
 
--- a/packages/measure/src/node/state/measureLeaving.ts
+++ b/packages/measure/src/node/state/measureLeaving.ts
@@ -1,9 +1,9 @@
 import {
   applyVmList,
-  createVmView,
+  createMembershipView,
   currentVms,
-  hearLeaving,
-  leavingAges,
+  applyReportedDepartures,
+  departureAges,
   MemberState,
   type VmEntry,
   VmRole,
@@ -36,7 +36,7 @@
   const random = createRandom(run.seed)
   const before = [target('a', MemberState.Live), target('b', MemberState.Live)]
   const after = [target('a', MemberState.Leaving), ...before.slice(1)]
-  const views = peers.map(() => applyVmList(createVmView(), before, 0))
+  const views = peers.map(() => applyVmList(createMembershipView(), before, 0))
   const polls = peers.map(() => random.unit() * LIST_POLL_MS)
   const beats = peers.map(() => random.unit() * run.heartbeatMs)
   // One list shows the departure at once, or nobody could know of it.
@@ -48,7 +48,7 @@
     (nowMs - phase + everyMs) % everyMs < TICK_MS
   for (let nowMs = TICK_MS; nowMs < HORIZON_MS; nowMs += TICK_MS) {
     for (const index of peers.keys()) {
-      const view = views[index] ?? createVmView()
+      const view = views[index] ?? createMembershipView()
       const list = nowMs >= (lags[index] ?? 0) ? after : before
       if (isDue(nowMs, polls[index] ?? 0, LIST_POLL_MS))
         views[index] = applyVmList(view, list, nowMs)
@@ -68,15 +68,19 @@
 }
 
 function tell(
-  views: ReturnType<typeof createVmView>[],
+  views: ReturnType<typeof createMembershipView>[],
   one: number,
   other: number,
   nowMs: number,
 ): void {
-  const left = views[one] ?? createVmView()
-  const right = views[other] ?? createVmView()
-  views[one] = hearLeaving(left, leavingAges(right, nowMs), nowMs)
-  views[other] = hearLeaving(right, leavingAges(left, nowMs), nowMs)
+  const left = views[one] ?? createMembershipView()
+  const right = views[other] ?? createMembershipView()
+  views[one] = applyReportedDepartures(left, departureAges(right, nowMs), nowMs)
+  views[other] = applyReportedDepartures(
+    right,
+    departureAges(left, nowMs),
+    nowMs,
+  )
 }
 
 function measureSize(
--- a/packages/measure/src/node/state/measurePatchCost.ts
+++ b/packages/measure/src/node/state/measurePatchCost.ts
@@ -2,8 +2,8 @@
 import {
   type Configuration,
   configurationSchema,
-  patchTouched,
-  patchWhole,
+  patchConfiguration,
+  patchFullConfiguration,
 } from '@auburnbay/core'
 import type { Figure } from '../figure.js'
 
@@ -31,7 +31,7 @@
 }
 
 function timePatches(
-  patch: typeof patchTouched,
+  patch: typeof patchConfiguration,
   configuration: Configuration,
   runs: number,
 ): number {
@@ -48,9 +48,9 @@
 /** Share of a core that applying the changes of a day takes. */
 export function measurePatchCost(): Figure {
   const configuration = createLarge()
-  timePatches(patchTouched, configuration, TOUCHED_RUNS)
-  const touchedMs = timePatches(patchTouched, configuration, TOUCHED_RUNS)
-  const wholeMs = timePatches(patchWhole, configuration, WHOLE_RUNS)
+  timePatches(patchConfiguration, configuration, TOUCHED_RUNS)
+  const touchedMs = timePatches(patchConfiguration, configuration, TOUCHED_RUNS)
+  const wholeMs = timePatches(patchFullConfiguration, configuration, WHOLE_RUNS)
   const share = (costMs: number): number => (costMs * CHANGES_A_DAY) / DAY_MS
   return {
     measure: 'state.patch-cost',
--- a/packages/measure/src/node/state/scheduledRouter.ts
+++ b/packages/measure/src/node/state/scheduledRouter.ts
@@ -1,5 +1,5 @@
 import {
-  adoptSnapshot,
+  restoreSnapshot,
   applyLogPage,
   chooseSnapshot,
   type ConfigurationState,
@@ -39,7 +39,7 @@
     const isSameLog = this.state.logId === peer.state.logId
     const isBehind = peer.state.nextOffset > this.state.nextOffset
     if (this.state.version > 0 && !(isSameLog && isBehind)) return
-    const adopted = adoptSnapshot(this.state, createSnapshot(peer.state))
+    const adopted = restoreSnapshot(this.state, createSnapshot(peer.state))
     if (adopted.isOk()) this.take(adopted.value)
   }
 }
--- a/packages/router/src/node/callers/createAnswerRelay.ts
+++ b/packages/router/src/node/callers/createAnswerRelay.ts
@@ -1,5 +1,5 @@
 import type { ServerResponse } from 'node:http'
-import type { TargetAnswer } from '../targets/createTargetClient.js'
+import type { TargetResponse } from '../targets/createTargetClient.js'
 import type { TargetProtocol } from '../targets/targetProtocol.js'
 import type { Call } from './call.js'
 import { createEventSplitter } from './createEventSplitter.js'
@@ -20,11 +20,11 @@
   /** Whether another target's answer may still take the place of a broken one. */
   readonly replaceable: boolean
   /** Whether an answer may follow what the caller has. */
-  fits(answer: TargetAnswer): boolean
+  fits(answer: TargetResponse): boolean
   /** Last event that the caller has. */
   readonly lastEventId: string | undefined
   /** Passes an answer on; what follows a broken stream goes on after it. */
-  relay(answer: TargetAnswer, onPiece: () => void): Promise<RelayEnd>
+  relay(answer: TargetResponse, onPiece: () => void): Promise<RelayEnd>
 }
 
 /** Creates the relay of one call. */
@@ -38,14 +38,14 @@
   const splitter = createEventSplitter()
   let begun = false
 
-  function begin({ head, res: from }: TargetAnswer): void {
+  function begin({ head, res: from }: TargetResponse): void {
     begun = true
-    res.writeHead(head.status, protocol.answerHeaders(from.rawHeaders))
+    res.writeHead(head.status, protocol.responseHeaders(from.rawHeaders))
   }
 
   /** Holds a body back until it is whole, unless it is long. */
   async function relayPlain(
-    answer: TargetAnswer,
+    answer: TargetResponse,
     onPiece: () => void,
   ): Promise<RelayEnd> {
     let held: Buffer[] = []
@@ -68,7 +68,7 @@
   }
 
   async function relayStream(
-    answer: TargetAnswer,
+    answer: TargetResponse,
     onPiece: () => void,
   ): Promise<RelayEnd> {
     if (!begun) {
@@ -106,6 +106,6 @@
   }
 }
 
-function isSuccess({ head }: TargetAnswer): boolean {
+function isSuccess({ head }: TargetResponse): boolean {
   return head.status < 300
 }
--- a/packages/router/src/node/callers/createCallerServer.ts
+++ b/packages/router/src/node/callers/createCallerServer.ts
@@ -11,8 +11,8 @@
 import { err, ok, type Result } from 'neverthrow'
 import type {
   ConfigurationInForce,
-  ConfigurationKeeper,
-} from '../configuration/createConfigurationKeeper.js'
+  ConfigurationStore,
+} from '../configuration/createConfigurationStore.js'
 import type { Route } from '../configuration/route.js'
 import type { DecisionLog } from '../logging/decisionLog.js'
 import { LogEvent } from '../logging/logEvent.js'
@@ -38,7 +38,7 @@
 /** What the listener for callers works with. */
 export interface CallerServerOptions {
   readonly address: ListenAddress
-  readonly keeper: ConfigurationKeeper
+  readonly keeper: ConfigurationStore
   readonly protocol: CallerProtocol
   readonly dispatcher: Dispatcher
   readonly log: DecisionLog
--- a/packages/router/src/node/callers/createDispatcher.ts
+++ b/packages/router/src/node/callers/createDispatcher.ts
@@ -2,18 +2,18 @@
 import { TargetOutcome } from '@auburnbay/core/health/targetOutcome'
 import { combineVerdicts } from '@auburnbay/core/verdict/attemptProgress'
 import { Verdict } from '@auburnbay/core/verdict/verdict'
-import type { SilenceWatch } from '../health/createSilenceWatch.js'
+import type { StallDetector } from '../health/createStallDetector.js'
 import type { TargetHealth } from '../health/createTargetHealth.js'
-import { judgeFailure } from '../health/judgeFailure.js'
-import { createPatience } from '../limits/createPatience.js'
-import type { RetryAllowance } from '../limits/createRetryAllowance.js'
+import { classifyFailure } from '../health/classifyFailure.js'
+import { createHeaderTimeout } from '../limits/createHeaderTimeout.js'
+import type { RetryBudget } from '../limits/createRetryBudget.js'
 import type { DecisionLog } from '../logging/decisionLog.js'
 import { LogEvent } from '../logging/logEvent.js'
 import type { RouterMetrics } from '../metrics/routerMetrics.js'
 import type { FleetLoad } from '../routing/createFleetLoad.js'
-import type { Placer } from '../routing/createPlacer.js'
+import type { TargetSelector } from '../routing/createTargetSelector.js'
 import type {
-  TargetAnswer,
+  TargetResponse,
   TargetClient,
 } from '../targets/createTargetClient.js'
 import type { Target } from '../targets/target.js'
@@ -43,12 +43,12 @@
 /** What the dispatcher works with. */
 export interface DispatcherOptions {
   readonly load: FleetLoad
-  readonly placer: Placer
+  readonly placer: TargetSelector
   readonly health: TargetHealth
-  readonly silence: SilenceWatch
+  readonly silence: StallDetector
   readonly client: TargetClient
   readonly protocol: TargetProtocol
-  readonly allowanceOf: (service: string) => RetryAllowance
+  readonly allowanceOf: (service: string) => RetryBudget
   readonly log: DecisionLog
   readonly metrics: RouterMetrics
   /** Steady clock, in milliseconds. */
@@ -70,7 +70,7 @@
 
 /** Creates a dispatcher. */
 export function createDispatcher(options: DispatcherOptions): Dispatcher {
-  const patience = createPatience()
+  const patience = createHeaderTimeout()
   const { load, placer, health, silence, client, log, metrics, now } = options
 
   function patienceMs(
@@ -81,7 +81,7 @@
     const remainingMs = call.dueAtMs - sentAtMs
     if (!maySendElsewhere(call, progress)) return remainingMs
     const { name, targetLatencyMs } = call.route
-    return Math.min(remainingMs, patience.limitMs(name, targetLatencyMs))
+    return Math.min(remainingMs, patience.timeoutMs(name, targetLatencyMs))
   }
 
   function failed(
@@ -90,10 +90,11 @@
     progress: CallProgress,
     failure: TargetFailure,
   ): Next {
-    const advice = judgeFailure(failure.cause)
-    if (advice.isFailure) health.record(target, TargetOutcome.Failure, now())
+    const advice = classifyFailure(failure.cause)
+    if (advice.countsAgainstHealth)
+      health.record(target, TargetOutcome.Failure, now())
     if (advice.avoidMs > 0) health.avoid(target.id, advice.avoidMs, now())
-    if (advice.condemns) client.condemn(target)
+    if (advice.discardsConnections) client.discardConnections(target)
     progress.verdict = combineVerdicts(progress.verdict, failure.verdict)
     progress.lastCause = failure.cause
     if (failure.verdict !== Verdict.NotRun) progress.runs += 1
@@ -114,18 +115,18 @@
   function isWorthAnother(
     call: Call,
     progress: CallProgress,
-    { head }: TargetAnswer,
+    { head }: TargetResponse,
   ): boolean {
     if (head.status < SERVER_ERROR_FROM || progress.relay.begun) return false
     if (!mayRunAgain(call, progress)) return false
-    return placer.place(call, progress.tried) !== undefined
+    return placer.select(call, progress.tried) !== undefined
   }
 
   async function answered(
     call: Call,
     target: Target,
     progress: CallProgress,
-    answer: TargetAnswer,
+    answer: TargetResponse,
   ): Promise<Next> {
     const { status } = answer.head
     progress.runs += 1
@@ -135,7 +136,7 @@
     health.record(target, outcome, now())
     if (
       isWorthAnother(call, progress, answer) &&
-      options.allowanceOf(call.service).take(now())
+      options.allowanceOf(call.service).tryAcquire(now())
     ) {
       answer.res.resume()
       metrics.resent(call.service, `status-${status}`)
@@ -143,7 +144,7 @@
     }
     const end = progress.relay.fits(answer)
       ? await progress.relay.relay(answer, () => {
-          silence.heard(target.id, now())
+          silence.recordActivity(target.id, now())
         })
       : RelayEnd.Broken
     if (end !== RelayEnd.Broken) return Next.Done
@@ -171,17 +172,17 @@
     const { customer, route, signal } = call
     const lastEventId = progress.relay.lastEventId
     const sentAtMs = now()
-    const fetchFrom = placer.findSource(call, target)
-    const unreadTokens = placer.unreadTokens(call, target)
-    load.started(target.id, unreadTokens)
-    placer.placed(call, target)
-    silence.sent(target.id, sentAtMs)
+    const fetchFrom = placer.findCacheSource(call, target)
+    const unreadTokens = placer.pendingPromptTokens(call, target)
+    load.recordStart(target.id, unreadTokens)
+    placer.recordSent(call, target)
+    silence.recordSent(target.id, sentAtMs)
     try {
       const result = await client.send({
         call,
         signal,
-        patienceMs: patienceMs(call, progress, sentAtMs),
-        orders: {
+        headerTimeoutMs: patienceMs(call, progress, sentAtMs),
+        options: {
           target,
           bodyBytes: call.body.length,
           remainingMs: call.dueAtMs - sentAtMs,
@@ -193,19 +194,20 @@
           ...(lastEventId !== undefined && { lastEventId }),
         },
       })
-      load.read(target.id, unreadTokens)
+      load.releasePromptTokens(target.id, unreadTokens)
       if (result.isErr()) {
-        if (result.error.verdict === Verdict.NotRun) placer.lost(call, target)
+        if (result.error.verdict === Verdict.NotRun)
+          placer.recordNotRun(call, target)
         return failed(call, target, progress, result.error)
       }
       const headMs = now() - sentAtMs
-      patience.note(route.name, headMs)
+      patience.recordHeaderTime(route.name, headMs)
       metrics.headSeen(call.service, headMs / MS_PER_S)
-      silence.heard(target.id, now())
+      silence.recordActivity(target.id, now())
       return await answered(call, target, progress, result.value)
     } finally {
-      load.ended(target.id)
-      silence.ended(target.id)
+      load.recordEnd(target.id)
+      silence.recordEnd(target.id)
     }
   }
 
@@ -216,17 +218,17 @@
     const relay = createAnswerRelay(call, res, options.protocol)
     const progress = createCallProgress(relay)
     const allowance = options.allowanceOf(call.service)
-    allowance.noteRequest(now())
+    allowance.recordRequest(now())
 
     function mayResend(): boolean {
-      if (!allowance.take(now())) return false
+      if (!allowance.tryAcquire(now())) return false
       metrics.resent(call.service, progress.lastCause ?? 'unknown')
       return true
     }
 
     while (progress.sends < MAX_SENDS && !call.signal.aborted) {
       if (call.dueAtMs - now() < MIN_REMAINING_MS) break
-      const target = placer.place(call, progress.tried)
+      const target = placer.select(call, progress.tried)
       if (!target) break
       const next = await attempt(call, target, progress)
       if (next === Next.Done) break
--- a/packages/router/src/node/configuration/createConfigurationKeeper.ts
+++ b/packages/router/src/node/configuration/createConfigurationStore.ts
@@ -13,12 +13,12 @@
 }
 
 /** Keeps the highest version that was offered. */
-export interface ConfigurationKeeper {
+export interface ConfigurationStore {
   readonly current: ConfigurationInForce | undefined
   /** 0 before the first. */
   readonly version: number
   /** Puts a configuration in force if it is newer; returns whether it was. */
-  offer(configuration: RouterConfiguration): boolean
+  applyIfNewer(configuration: RouterConfiguration): boolean
 }
 
 function indexCustomers(
@@ -31,7 +31,7 @@
 }
 
 /** Creates a keeper that knows no configuration. */
-export function createConfigurationKeeper(): ConfigurationKeeper {
+export function createConfigurationStore(): ConfigurationStore {
   let current: ConfigurationInForce | undefined
 
   const version = (): number => current?.configuration.version ?? 0
@@ -43,7 +43,7 @@
     get version() {
       return version()
     },
-    offer(configuration) {
+    applyIfNewer(configuration) {
       if (current && configuration.version <= version()) return false
       const { customers, routes, services } = configuration
       current = {
--- a/packages/router/src/node/configuration/followConfigurations.ts
+++ b/packages/router/src/node/configuration/followConfigurations.ts
@@ -3,7 +3,7 @@
   createSourceFollower,
   type SourceFollower,
 } from '../sources/createSourceFollower.js'
-import { createSourceLines } from '../sources/createSourceLines.js'
+import { createSourceLogger } from '../sources/createSourceLogger.js'
 import type { KeyedSource } from '../sources/keyedSource.js'
 import type { RouterConfiguration } from './routerConfiguration.js'
 
@@ -24,13 +24,13 @@
   options: FollowConfigurationsOptions,
 ): SourceFollower {
   const { source, isCovered, offer, now, log } = options
-  const lines = createSourceLines(log, 'configurations')
+  const lines = createSourceLogger(log, 'configurations')
   return createSourceFollower({
     source,
     // A reading waits at the source until there is something new.
-    pauseMs: 0,
+    pollIntervalMs: 0,
     now,
-    isCovered,
+    hasFreshReader: isCovered,
     onListing: (values) => {
       for (const configuration of values.values())
         offer(configuration, 'listing')
@@ -38,7 +38,7 @@
     onEntry: ({ value }) => {
       if (value) offer(value, 'log')
     },
-    onLost: lines.lost,
-    onRegained: lines.regained,
+    onUnavailable: lines.logUnavailable,
+    onRecovered: lines.logRecovered,
   })
 }
--- a/packages/router/src/node/createRouter.ts
+++ b/packages/router/src/node/createRouter.ts
@@ -4,30 +4,30 @@
 import { formatAddress } from '@auburnbay/http-utils/listen'
 import { createCallerServer } from './callers/createCallerServer.js'
 import { createDispatcher } from './callers/createDispatcher.js'
-import { createConfigurationKeeper } from './configuration/createConfigurationKeeper.js'
+import { createConfigurationStore } from './configuration/createConfigurationStore.js'
 import { followConfigurations } from './configuration/followConfigurations.js'
 import type { RouterConfiguration } from './configuration/routerConfiguration.js'
 import * as constants from './constants.js'
-import { createSilenceWatch } from './health/createSilenceWatch.js'
+import { createStallDetector } from './health/createStallDetector.js'
 import { createTargetHealth } from './health/createTargetHealth.js'
 import { HEALTH_OPTIONS } from './health/constants.js'
-import { createAllowances } from './limits/createAllowances.js'
+import { createRetryBudgets } from './limits/createRetryBudgets.js'
 import type { DecisionLog } from './logging/decisionLog.js'
 import { LogEvent } from './logging/logEvent.js'
 import { createReadinessServer } from './stopping/createReadinessServer.js'
 import { createMetricsServer } from './metrics/createMetricsServer.js'
 import { createRouterMetrics } from './metrics/createRouterMetrics.js'
 import { createPeers, type Peers } from './peers/createPeers.js'
-import { createKnowledge } from './peers/createKnowledge.js'
+import { createRouterState } from './peers/createRouterState.js'
 import type { RouterPorts } from './routerPorts.js'
 import { createFleetLoad } from './routing/createFleetLoad.js'
-import { createPlacements } from './routing/createPlacements.js'
-import { createPlacer } from './routing/createPlacer.js'
+import { createCacheLocations } from './routing/createCacheLocations.js'
+import { createTargetSelector } from './routing/createTargetSelector.js'
 import type { RouterSettings } from './settings/settingsSchema.js'
 import { createPauseDetector } from './createPauseDetector.js'
 import { createTargetClient } from './targets/createTargetClient.js'
 import { followTargets } from './targets/followTargets.js'
-import { createTargetView } from './targets/createTargetView.js'
+import { createTargetList } from './targets/createTargetList.js'
 
 /** Bytes that tell one start of a router from another. */
 const INCARNATION_BYTES = 4
@@ -55,24 +55,24 @@
   const incarnation = randomBytes(INCARNATION_BYTES).toString('hex')
   // The parts that tell peers are made before the part for peers.
   const peers: { current?: Peers } = {}
-  const keeper = createConfigurationKeeper()
-  const view = createTargetView(constants.REJOIN_MS)
+  const keeper = createConfigurationStore()
+  const view = createTargetList(constants.REJOIN_WINDOW_MS)
   const load = createFleetLoad(() => {
     const rounds = Math.ceil(
-      (peers.current?.routers() ?? 1) / constants.MAX_TOLD,
+      (peers.current?.routerCount() ?? 1) / constants.DIGEST_FANOUT,
     )
-    return constants.STALE_DIGESTS * constants.DIGEST_MS * rounds
+    return constants.MAX_LOST_DIGESTS * constants.DIGEST_INTERVAL_MS * rounds
   })
-  const silence = createSilenceWatch(constants.SILENT_MS)
-  const placements = createPlacements(constants.MAX_PLACEMENTS)
+  const silence = createStallDetector(constants.STALL_TIMEOUT_MS)
+  const placements = createCacheLocations(constants.MAX_CACHE_LOCATIONS)
   const metrics = createRouterMetrics()
   const health = createTargetHealth(HEALTH_OPTIONS, (target, change) => {
     log.write(LogEvent.TargetHealth, { target: target.id, change })
   })
 
   function offer(configuration: RouterConfiguration, from: string): void {
-    if (!keeper.offer(configuration)) return
-    peers.current?.tell()
+    if (!keeper.applyIfNewer(configuration)) return
+    peers.current?.broadcast()
     const { version, routes } = configuration
     log.write(LogEvent.ConfigurationInForce, {
       version,
@@ -83,37 +83,37 @@
 
   const configurations = followConfigurations({
     source: ports.configurations,
-    isCovered: () => peers.current?.readConfigurations() ?? false,
+    isCovered: () => peers.current?.hasFreshConfigurationReader() ?? false,
     offer,
     now,
     log,
   })
   const targets = followTargets({
     source: ports.targets,
-    view,
-    pauseMs: settings.bounds.drainMs / constants.READINGS_PER_DRAIN,
-    unreadAtMs: () => peers.current?.unreadAtMs() ?? now(),
-    isCovered: () => peers.current?.readTargets() ?? false,
+    targetList: view,
+    pollIntervalMs: settings.bounds.drainMs / constants.POLLS_PER_DRAIN,
+    lastFleetOutageAtMs: () => peers.current?.lastFleetOutageAtMs() ?? now(),
+    hasFreshReader: () => peers.current?.hasFreshTargetReader() ?? false,
     onChange: () => {
-      peers.current?.tell()
+      peers.current?.broadcast()
     },
     now,
     log,
   })
-  const knowledge = createKnowledge({
-    keeper,
-    view,
+  const knowledge = createRouterState({
+    activeConfiguration: keeper,
+    targetList: view,
     targets,
-    configurationReadMs: () => configurations.ageMs(),
-    offer,
+    configurationPollAgeMs: () => configurations.lastPollAgeMs(),
+    applyConfiguration: offer,
   })
   peers.current = await createPeers({
     settings,
     bounds: () => settings.bounds,
     incarnation,
-    knowledge,
+    state: knowledge,
     load,
-    placements,
+    cacheLocations: placements,
     directory: ports.directory,
     isStopping: () => stopping,
     log,
@@ -121,29 +121,30 @@
   })
 
   const pauses = createPauseDetector({
-    maxGapMs: constants.PAUSE_MS,
+    maxGapMs: constants.EVENT_LOOP_PAUSE_MS,
     now,
     epochNow: Date.now,
   })
   const watching = setInterval(() => {
     if (!pauses.check()) return
     log.write(LogEvent.Paused, { version: keeper.version })
-    targets.doubt()
-  }, constants.DIGEST_MS)
+    targets.invalidate()
+  }, constants.DIGEST_INTERVAL_MS)
 
-  const allowanceOf = createAllowances({
+  const allowanceOf = createRetryBudgets({
     bounds: () => ({
       ratio: settings.bounds.retryRatio,
       allowance: settings.bounds.retryAllowance,
       windowS: settings.bounds.retryWindowS,
     }),
-    routers: () => peers.current?.routers() ?? constants.ROUTERS_WHEN_ALONE,
+    routerCount: () =>
+      peers.current?.routerCount() ?? constants.DEFAULT_ROUTER_COUNT,
   })
 
   const client = createTargetClient({
     protocol: ports.targetProtocol,
     connectTimeoutMs: constants.CONNECT_TIMEOUT_MS,
-    keptIdleMs: constants.KEPT_IDLE_MS,
+    keepAliveTimeoutMs: constants.KEEP_ALIVE_TIMEOUT_MS,
   })
   const callers = await createCallerServer({
     address: settings.listen.callers,
@@ -151,16 +152,16 @@
     protocol: ports.callerProtocol,
     dispatcher: createDispatcher({
       load,
-      placer: createPlacer({
-        view,
+      placer: createTargetSelector({
+        targetList: view,
         load,
-        placements,
+        cacheLocations: placements,
         health,
-        silence,
+        stallDetector: silence,
         sharesCache: (service) =>
           keeper.current?.services.get(service)?.sharesCache ?? false,
         onNewPrompt: () => {
-          peers.current?.tellSoon()
+          peers.current?.scheduleBroadcast()
         },
         now,
       }),
@@ -180,7 +181,7 @@
   })
 
   const isReady = (): boolean =>
-    !stopping && keeper.current !== undefined && targets.isKnown()
+    !stopping && keeper.current !== undefined && targets.isLoaded()
   const readiness = await createReadinessServer(
     settings.listen.readiness,
     isReady,
@@ -204,10 +205,10 @@
     const startedAtMs = now()
     log.write(LogEvent.Stopping, { inFlight: callers.inFlight })
     callers.closeAfterAnswers()
-    peers.current?.tell()
+    peers.current?.broadcast()
     const gracePeriodMs = settings.bounds.gracePeriodS * 1_000
     const lastMs = startedAtMs + gracePeriodMs - constants.STOP_MARGIN_MS
-    await sleep(Math.min(constants.BALANCER_DELAY_MS, gracePeriodMs / 2))
+    await sleep(Math.min(constants.LOAD_BALANCER_DELAY_MS, gracePeriodMs / 2))
     callers.refuseNew()
     await waitForAnswers(lastMs)
     log.write(LogEvent.Stopped, { brokenOff: callers.inFlight })
--- a/packages/router/src/node/health/judgeFailure.ts
+++ b/packages/router/src/node/health/classifyFailure.ts
@@ -1,13 +1,13 @@
 import { TargetFailureCause } from '../targets/targetFailure.js'
 
 /** What a failed send says of its target. */
-export interface FailureAdvice {
+export interface FailureHandling {
   /** Whether the failure counts against the target's health. */
-  readonly isFailure: boolean
+  readonly countsAgainstHealth: boolean
   /** Milliseconds for which the target gets no work; 0 for none. */
   readonly avoidMs: number
   /** Whether kept connections to the target are given up. */
-  readonly condemns: boolean
+  readonly discardsConnections: boolean
 }
 
 /** Milliseconds for which a target that cannot be reached gets no work. */
@@ -16,23 +16,35 @@
 const REFUSED_AVOIDED_MS = 150
 
 /** Judges a target by why a send to it failed; being full is no fault. */
-export function judgeFailure(cause: TargetFailureCause): FailureAdvice {
+export function classifyFailure(cause: TargetFailureCause): FailureHandling {
   switch (cause) {
     case TargetFailureCause.Aborted:
-      return { isFailure: false, avoidMs: 0, condemns: false }
+      return {
+        countsAgainstHealth: false,
+        avoidMs: 0,
+        discardsConnections: false,
+      }
     case TargetFailureCause.Refused:
-      return { isFailure: false, avoidMs: REFUSED_AVOIDED_MS, condemns: false }
+      return {
+        countsAgainstHealth: false,
+        avoidMs: REFUSED_AVOIDED_MS,
+        discardsConnections: false,
+      }
     case TargetFailureCause.Unreachable:
     case TargetFailureCause.WrongTarget:
       return {
-        isFailure: false,
+        countsAgainstHealth: false,
         avoidMs: UNREACHABLE_AVOIDED_MS,
-        condemns: true,
+        discardsConnections: true,
       }
     case TargetFailureCause.Broken:
     case TargetFailureCause.Silent:
     case TargetFailureCause.ForeignAnswer:
     case TargetFailureCause.Unsigned:
-      return { isFailure: true, avoidMs: 0, condemns: false }
+      return {
+        countsAgainstHealth: true,
+        avoidMs: 0,
+        discardsConnections: false,
+      }
   }
 }
