--- a/packages/router/src/node/health/createSilenceWatch.ts
+++ b/packages/router/src/node/health/createStallDetector.ts
@@ -1,11 +1,11 @@
 /** Notices targets that owe answers and send nothing at all. */
-export interface SilenceWatch {
-  sent(targetId: string, nowMs: number): void
+export interface StallDetector {
+  recordSent(targetId: string, nowMs: number): void
   /** Bytes of any answer came from the target. */
-  heard(targetId: string, nowMs: number): void
+  recordActivity(targetId: string, nowMs: number): void
   /** A request to the target ended, with or without an answer. */
-  ended(targetId: string): void
-  isSilent(targetId: string, nowMs: number): boolean
+  recordEnd(targetId: string): void
+  isStalled(targetId: string, nowMs: number): boolean
 }
 
 interface Owed {
@@ -18,25 +18,25 @@
  * Creates a watch.
  * @param silentMs Milliseconds that a target may owe answers and send nothing.
  */
-export function createSilenceWatch(silentMs: number): SilenceWatch {
+export function createStallDetector(silentMs: number): StallDetector {
   const owed = new Map<string, Owed>()
   return {
-    sent(targetId, nowMs) {
+    recordSent(targetId, nowMs) {
       const target = owed.get(targetId)
       if (target) target.requests += 1
       else owed.set(targetId, { requests: 1, sinceMs: nowMs })
     },
-    heard(targetId, nowMs) {
+    recordActivity(targetId, nowMs) {
       const target = owed.get(targetId)
       if (target) target.sinceMs = nowMs
     },
-    ended(targetId) {
+    recordEnd(targetId) {
       const target = owed.get(targetId)
       if (!target) return
       target.requests -= 1
       if (target.requests === 0) owed.delete(targetId)
     },
-    isSilent(targetId, nowMs) {
+    isStalled(targetId, nowMs) {
       const target = owed.get(targetId)
       return target !== undefined && nowMs - target.sinceMs > silentMs
     },
--- a/packages/router/src/node/health/createTargetHealth.ts
+++ b/packages/router/src/node/health/createTargetHealth.ts
@@ -61,8 +61,8 @@
     record(target, outcome, nowMs) {
       const health = services.get(target.service)
       if (!health) return
-      const isProbe = health.started(target.id, nowMs)
-      const change = health.record(target.id, outcome, nowMs, isProbe)
+      const isProbe = health.recordStart(target.id, nowMs)
+      const change = health.recordOutcome(target.id, outcome, nowMs, isProbe)
       if (change !== HealthChange.None) onChange(target, change)
     },
     avoid(targetId, forMs, nowMs) {
--- a/packages/router/src/node/limits/__tests__/createRetryAllowance.test.ts
+++ b/packages/router/src/node/limits/__tests__/createRetryBudget.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { createRetryAllowance } from '../createRetryAllowance.js'
+import { createRetryBudget } from '../createRetryBudget.js'
 
 const BOUNDS = { ratio: 0.2, allowance: 54, windowS: 10 }
 const WINDOW_MS = BOUNDS.windowS * 1_000
@@ -29,7 +29,7 @@
         fc.array(step, { minLength: 200, maxLength: 900 }),
         (steps) => {
           const routers = [0, 1, 2].map(() =>
-            createRetryAllowance({ bounds: () => BOUNDS, routers: () => 3 }),
+            createRetryBudget({ bounds: () => BOUNDS, routerCount: () => 3 }),
           )
           const requests: number[] = []
           const sends: number[] = []
@@ -38,8 +38,8 @@
             nowMs += afterMs
             if (isRequest) {
               requests.push(nowMs)
-              routers[router]?.noteRequest(nowMs)
-            } else if (routers[router]?.take(nowMs)) {
+              routers[router]?.recordRequest(nowMs)
+            } else if (routers[router]?.tryAcquire(nowMs)) {
               sends.push(nowMs)
               const earned = Math.max(
                 countIn(requests, nowMs),
@@ -57,12 +57,12 @@
   })
 
   it('lets a fleet without requests send some, and not without end', () => {
-    const allowance = createRetryAllowance({
+    const allowance = createRetryBudget({
       bounds: () => BOUNDS,
-      routers: () => 1,
+      routerCount: () => 1,
     })
     let taken = 0
-    for (let i = 0; i < 200; i += 1) if (allowance.take(1_000)) taken += 1
+    for (let i = 0; i < 200; i += 1) if (allowance.tryAcquire(1_000)) taken += 1
     assert.ok(taken > 0 && taken <= BOUNDS.allowance)
   })
 })
--- a/packages/router/src/node/limits/createPatience.ts
+++ b/packages/router/src/node/limits/createHeaderTimeout.ts
@@ -1,9 +1,9 @@
 /** How long an answer may be awaited before another target is asked. */
-export interface Patience {
+export interface HeaderTimeout {
   /** Notes how long a target took to the head of an answer. */
-  note(route: string, ms: number): void
+  recordHeaderTime(route: string, ms: number): void
   /** Returns the milliseconds to wait for the head of an answer on a route. */
-  limitMs(route: string, targetLatencyMs: number): number
+  timeoutMs(route: string, targetLatencyMs: number): number
 }
 
 /** Part of the target latency after which another target may still be in time. */
@@ -14,14 +14,14 @@
 const NEW_PART = 0.1
 
 /** Creates a patience that knows no times yet. */
-export function createPatience(): Patience {
+export function createHeaderTimeout(): HeaderTimeout {
   const usualMs = new Map<string, number>()
   return {
-    note(route, ms) {
+    recordHeaderTime(route, ms) {
       const usual = usualMs.get(route) ?? ms
       usualMs.set(route, usual + NEW_PART * (ms - usual))
     },
-    limitMs(route, targetLatencyMs) {
+    timeoutMs(route, targetLatencyMs) {
       const usual = usualMs.get(route) ?? 0
       // While every target is slow, asking another one makes it worse.
       return Math.max(LATENCY_PART * targetLatencyMs, USUAL_TIMES * usual)
--- a/packages/router/src/node/limits/createRetryAllowance.ts
+++ b/packages/router/src/node/limits/createRetryBudget.ts
@@ -9,17 +9,17 @@
 }
 
 /** What an allowance is worked out from. */
-export interface RetryAllowanceOptions {
+export interface RetryBudgetOptions {
   readonly bounds: () => RetryBounds
   /** Routers that share the allowance. */
-  readonly routers: () => number
+  readonly routerCount: () => number
 }
 
 /** Keeps the second sends of one service within the fleet's bound. */
-export interface RetryAllowance {
-  noteRequest(nowMs: number): void
+export interface RetryBudget {
+  recordRequest(nowMs: number): void
   /** Takes one second send; false when this router's part is spent. */
-  take(nowMs: number): boolean
+  tryAcquire(nowMs: number): boolean
 }
 
 /** Part of the bound that routers use; the rest covers a router too many. */
@@ -46,22 +46,20 @@
 }
 
 /** Creates an allowance; nothing is shared but the number of routers. */
-export function createRetryAllowance(
-  options: RetryAllowanceOptions,
-): RetryAllowance {
+export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
   const requests = createBuckets()
   const sends = createBuckets()
   const secondOf = (nowMs: number) => Math.floor(nowMs / MS_PER_S)
 
   return {
-    noteRequest(nowMs) {
+    recordRequest(nowMs) {
       requests.add(secondOf(nowMs))
     },
-    take(nowMs) {
+    tryAcquire(nowMs) {
       const { ratio, allowance, windowS } = options.bounds()
       const second = secondOf(nowMs)
       const earned = ratio * requests.sum(second, windowS)
-      const own = allowance / Math.max(1, options.routers())
+      const own = allowance / Math.max(1, options.routerCount())
       // One bucket more than the window covers every span of its length.
       const spent = sends.sum(second, windowS + 1)
       if (spent + 1 > USED_PART * (earned + own)) return false
--- a/packages/router/src/node/peers/__tests__/createNewsBatches.test.ts
+++ b/packages/router/src/node/peers/__tests__/createPendingUpdates.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import type { Placement } from '../../routing/createPlacements.js'
-import { createNewsBatches } from '../createNewsBatches.js'
+import type { CacheLocation } from '../../routing/createCacheLocations.js'
+import { createPendingUpdates } from '../createPendingUpdates.js'
 import { createPeerTable } from '../createPeerTable.js'
 import type { PeerDigest } from '../peerDigest.js'
 
@@ -22,8 +22,8 @@
         '10.0.0.1',
         0,
       )
-    let placed: Placement[] = []
-    const news = createNewsBatches(() => {
+    let placed: CacheLocation[] = []
+    const news = createPendingUpdates(() => {
       const taken = placed
       placed = []
       return taken
@@ -44,7 +44,7 @@
   })
 
   it('are told once where a digest reaches all', () => {
-    const news = createNewsBatches(() => [['prompt', 'target']])
+    const news = createPendingUpdates(() => [['prompt', 'target']])
     assert.equal(news.next(1).length, 1)
     assert.equal(news.next(1).length, 1)
   })
--- a/packages/router/src/node/peers/__tests__/digestWork.test.ts
+++ b/packages/router/src/node/peers/__tests__/digestLoad.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { NO_WORK } from '../../routing/targetWork.js'
-import { decodePlaced, decodeWork, encodeWork } from '../digestWork.js'
+import { NO_LOAD } from '../../routing/targetLoad.js'
+import { decodeCacheLocations, decodeLoad, encodeLoad } from '../digestLoad.js'
 
 describe('digestWork', () => {
   it('reads back counts and placements of listed targets', () => {
@@ -16,18 +16,18 @@
           const own = new Map(
             counted.map(([target, requests, hundreds]) => [
               target,
-              { requests, unreadTokens: hundreds * 100 },
+              { requests, pendingPromptTokens: hundreds * 100 },
             ]),
           )
-          const work = encodeWork(ids, own, placements)
-          const read = decodeWork(ids, work)
+          const work = encodeLoad(ids, own, placements)
+          const read = decodeLoad(ids, work)
           for (const listed of ids)
             assert.deepEqual(
-              read.get(listed) ?? NO_WORK,
-              own.get(listed) ?? NO_WORK,
+              read.get(listed) ?? NO_LOAD,
+              own.get(listed) ?? NO_LOAD,
             )
           const known = placements.filter(([, target]) => ids.includes(target))
-          assert.deepEqual(decodePlaced(ids, work), known)
+          assert.deepEqual(decodeCacheLocations(ids, work), known)
         },
       ),
       { seed: 21 },
@@ -36,12 +36,14 @@
 
   it('takes no more room for targets without work', () => {
     const ids = Array.from({ length: 100 }, (_, place) => `target-${place}`)
-    const own = new Map([['target-7', { requests: 2, unreadTokens: 300 }]])
-    assert.deepEqual(encodeWork(ids, own, []).work, [7, 2, 3])
+    const own = new Map([
+      ['target-7', { requests: 2, pendingPromptTokens: 300 }],
+    ])
+    assert.deepEqual(encodeLoad(ids, own, []).work, [7, 2, 3])
   })
 
   it('leaves out places that a shorter list does not have', () => {
-    const work = encodeWork(['a', 'b'], new Map(), [['key', 'b']])
-    assert.deepEqual(decodePlaced(['a'], work), [])
+    const work = encodeLoad(['a', 'b'], new Map(), [['key', 'b']])
+    assert.deepEqual(decodeCacheLocations(['a'], work), [])
   })
 })
--- a/packages/router/src/node/peers/createPeers.ts
+++ b/packages/router/src/node/peers/createPeers.ts
@@ -3,18 +3,18 @@
 import { LogEvent } from '../logging/logEvent.js'
 import type { RouterDirectory } from '../routerPorts.js'
 import type { FleetLoad } from '../routing/createFleetLoad.js'
-import type { Placements } from '../routing/createPlacements.js'
+import type { CacheLocations } from '../routing/createCacheLocations.js'
 import type { RouterSettings } from '../settings/settingsSchema.js'
 import { createDigestSocket } from './createDigestSocket.js'
-import { createNewsBatches } from './createNewsBatches.js'
+import { createPendingUpdates } from './createPendingUpdates.js'
 import { createPeerStateServer } from './createPeerStateServer.js'
 import { createPeerTable, type Peer } from './createPeerTable.js'
 import { createStateBorrower } from './createStateBorrower.js'
 import { joinDirectory } from './joinDirectory.js'
 import type { PeerDigest } from './peerDigest.js'
-import { decodePlaced, decodeWork, encodeWork } from './digestWork.js'
+import { decodeCacheLocations, decodeLoad, encodeLoad } from './digestLoad.js'
 import { isCovered, type ReadingAge } from './readerDuty.js'
-import type { RouterKnowledge } from './routerKnowledge.js'
+import type { RouterState } from './routerState.js'
 
 /** What the part for peers works with. */
 export interface PeersOptions {
@@ -22,9 +22,9 @@
   /** The bounds as they are now. */
   readonly bounds: () => RouterSettings['bounds']
   readonly incarnation: string
-  readonly knowledge: RouterKnowledge
+  readonly state: RouterState
   readonly load: FleetLoad
-  readonly placements: Placements
+  readonly cacheLocations: CacheLocations
   readonly directory: RouterDirectory
   readonly isStopping: () => boolean
   readonly log: DecisionLog
@@ -35,17 +35,17 @@
 /** Tells peers of this router and hears of them. */
 export interface Peers {
   /** Routers in the fleet, this one included; a guess on the safe side while alone. */
-  routers(): number
+  routerCount(): number
   /** Whether peers read configurations for this router. */
-  readConfigurations(): boolean
+  hasFreshConfigurationReader(): boolean
   /** Whether peers read the list of targets for this router. */
-  readTargets(): boolean
+  hasFreshTargetReader(): boolean
   /** Last time at which no peer had read the list of targets lately, in milliseconds. */
-  unreadAtMs(): number
+  lastFleetOutageAtMs(): number
   /** Tells every peer at once. */
-  tell(): void
+  broadcast(): void
   /** Tells every peer within some milliseconds, once for many calls. */
-  tellSoon(): void
+  scheduleBroadcast(): void
   close(): void
 }
 
@@ -55,29 +55,36 @@
 
 /** Starts exchanging digests; rejects when the address is in use. */
 export async function createPeers(options: PeersOptions): Promise<Peers> {
-  const { settings, knowledge, load, placements, log, now } = options
+  const {
+    settings,
+    state: knowledge,
+    load,
+    cacheLocations: placements,
+    log,
+    now,
+  } = options
   const { id: router } = settings.router
   let sequence = 0
   let unreadAtMs = now()
   const table = createPeerTable({
-    lostMs: constants.PEER_LOST_MS,
-    probeMs: constants.PEER_PROBE_MS,
-    forgetMs: constants.PEER_FORGET_MS,
+    lostMs: constants.PEER_TIMEOUT_MS,
+    probeMs: constants.PEER_PROBE_INTERVAL_MS,
+    forgetMs: constants.PEER_EXPIRY_MS,
   })
   const borrower = createStateBorrower({
     knowledge,
     onPlacements: (borrowed) => {
-      placements.heard(borrowed)
+      placements.merge(borrowed)
     },
     log,
     now,
   })
 
-  const news = createNewsBatches(() => placements.takeNews())
+  const news = createPendingUpdates(() => placements.takeUpdates())
 
   /** Digests until every peer has got one. */
   const tellings = (): number =>
-    Math.ceil(table.live(now()).length / constants.MAX_TOLD)
+    Math.ceil(table.live(now()).length / constants.DIGEST_FANOUT)
 
   function digest(): PeerDigest {
     sequence += 1
@@ -87,12 +94,12 @@
       sequence,
       port: server.address.port,
       configurationVersion: knowledge.configurationVersion(),
-      configurationReadMs: finiteOrNull(knowledge.configurationReadMs()),
+      configurationReadMs: finiteOrNull(knowledge.configurationPollAgeMs()),
       targetsFingerprint: knowledge.targetsFingerprint(),
-      targetsReadMs: finiteOrNull(knowledge.targetsReadMs()),
+      targetsReadMs: finiteOrNull(knowledge.targetsPollAgeMs()),
       targetsAgeMs: finiteOrNull(knowledge.targetsAgeMs()),
       stopping: options.isStopping(),
-      ...encodeWork(knowledge.targetIds(), load.own(), news.next(tellings())),
+      ...encodeLoad(knowledge.targetIds(), load.own(), news.next(tellings())),
     }
   }
 
@@ -100,8 +107,8 @@
   function takeWork(heard: PeerDigest): void {
     if (heard.targetsFingerprint !== knowledge.targetsFingerprint()) return
     const ids = knowledge.targetIds()
-    load.heard(heard.router, decodeWork(ids, heard), now())
-    placements.heard(decodePlaced(ids, heard))
+    load.updatePeer(heard.router, decodeLoad(ids, heard), now())
+    placements.merge(decodeCacheLocations(ids, heard))
   }
 
   function onDigest(heard: PeerDigest, host: string): void {
@@ -141,7 +148,7 @@
   function readerAgeMs(): number {
     const { configurationMs, drainMs } = options.bounds()
     const boundMs = Math.min(configurationMs, drainMs)
-    return boundMs / constants.READER_AGES_PER_BOUND
+    return boundMs / constants.READER_AGE_DIVISOR
   }
 
   function peersRead(ageOf: ReadingAge): boolean {
@@ -154,7 +161,7 @@
 
   /** Whether this router reads for its peers. */
   function isReader(): boolean {
-    if (knowledge.targetsReadMs() > readerAgeMs()) return false
+    if (knowledge.targetsPollAgeMs() > readerAgeMs()) return false
     return !peersReadTargets()
   }
 
@@ -162,7 +169,10 @@
     const youngest = Math.min(...table.live(now()).map(readingAge))
     if (youngest > constants.SHORT_OUTAGE_MS) unreadAtMs = now()
     // A reader's peers must hear of each reading before it is too old for them.
-    const due = table.due(now(), isReader() ? Infinity : constants.MAX_TOLD)
+    const due = table.due(
+      now(),
+      isReader() ? Infinity : constants.DIGEST_FANOUT,
+    )
     if (due.length === 0) return
     socket.send(
       digest(),
@@ -174,14 +184,14 @@
     for (const { router: peer } of table.expire(now()))
       log.write(LogEvent.PeerLost, { peer })
     tell()
-  }, constants.DIGEST_MS)
+  }, constants.DIGEST_INTERVAL_MS)
   let soon: NodeJS.Timeout | undefined
 
   function tellSoon(): void {
     soon ??= setTimeout(() => {
       soon = undefined
       tell()
-    }, constants.TELL_SOON_MS)
+    }, constants.BROADCAST_DELAY_MS)
   }
 
   const joined = joinDirectory({
@@ -194,15 +204,16 @@
   })
 
   return {
-    routers() {
+    routerCount() {
       const live = table.live(now()).length
-      return live > 0 ? live + 1 : constants.ROUTERS_WHEN_ALONE
+      return live > 0 ? live + 1 : constants.DEFAULT_ROUTER_COUNT
     },
-    readConfigurations: () => peersRead((last) => last.configurationReadMs),
-    readTargets: peersReadTargets,
-    unreadAtMs: () => unreadAtMs,
-    tell,
-    tellSoon,
+    hasFreshConfigurationReader: () =>
+      peersRead((last) => last.configurationReadMs),
+    hasFreshTargetReader: peersReadTargets,
+    lastFleetOutageAtMs: () => unreadAtMs,
+    broadcast: tell,
+    scheduleBroadcast: tellSoon,
     close() {
       clearTimeout(soon)
       clearInterval(telling)
--- a/packages/router/src/node/peers/createNewsBatches.ts
+++ b/packages/router/src/node/peers/createPendingUpdates.ts
@@ -1,14 +1,16 @@
-import type { Placement } from '../routing/createPlacements.js'
+import type { CacheLocation } from '../routing/createCacheLocations.js'
 
 /** Placements that are told until every peer has heard them. */
-export interface NewsBatches {
+export interface PendingUpdates {
   /** Returns what the next digest tells, when `tellings` of them reach all peers. */
-  next(tellings: number): readonly Placement[]
+  next(tellings: number): readonly CacheLocation[]
 }
 
 /** Creates batches of what `take` returns for each digest. */
-export function createNewsBatches(take: () => Placement[]): NewsBatches {
-  let batches: Placement[][] = []
+export function createPendingUpdates(
+  take: () => CacheLocation[],
+): PendingUpdates {
+  let batches: CacheLocation[][] = []
   return {
     next(tellings) {
       batches = [...batches, take()].slice(-Math.max(1, tellings))
--- a/packages/router/src/node/peers/createKnowledge.ts
+++ b/packages/router/src/node/peers/createRouterState.ts
@@ -1,28 +1,31 @@
-import type { ConfigurationKeeper } from '../configuration/createConfigurationKeeper.js'
+import type { ConfigurationStore } from '../configuration/createConfigurationStore.js'
 import type { RouterConfiguration } from '../configuration/routerConfiguration.js'
-import type { TargetView } from '../targets/createTargetView.js'
+import type { TargetList } from '../targets/createTargetList.js'
 import type { TargetsFollower } from '../targets/followTargets.js'
-import type { RouterKnowledge } from './routerKnowledge.js'
+import type { RouterState } from './routerState.js'
 
 /** Where a router's knowledge stands. */
-export interface KnowledgeOptions {
-  readonly keeper: ConfigurationKeeper
-  readonly view: TargetView
+export interface RouterStateOptions {
+  readonly activeConfiguration: ConfigurationStore
+  readonly targetList: TargetList
   readonly targets: TargetsFollower
   /** Milliseconds since this router itself read configurations. */
-  readonly configurationReadMs: () => number
+  readonly configurationPollAgeMs: () => number
   /** Puts a configuration in force if it is newer. */
-  readonly offer: (configuration: RouterConfiguration, from: string) => void
+  readonly applyConfiguration: (
+    configuration: RouterConfiguration,
+    from: string,
+  ) => void
 }
 
 /** Creates the view that peers have of a router's knowledge. */
-export function createKnowledge(options: KnowledgeOptions): RouterKnowledge {
-  const { keeper, view, targets } = options
+export function createRouterState(options: RouterStateOptions): RouterState {
+  const { activeConfiguration: keeper, targetList: view, targets } = options
   return {
     configurationVersion: () => keeper.version,
-    configurationReadMs: options.configurationReadMs,
+    configurationPollAgeMs: options.configurationPollAgeMs,
     targetsFingerprint: () => view.fingerprint(),
-    targetsReadMs: () => targets.readMs(),
+    targetsPollAgeMs: () => targets.lastPollAgeMs(),
     targetsAgeMs: () => targets.ageMs(),
     configurationSince(version) {
       const newest = keeper.current?.configuration
@@ -30,9 +33,9 @@
     },
     targets: () => [...view.all()],
     targetIds: () => view.ids(),
-    takeConfiguration: options.offer,
-    takeTargets(borrowed, ageMs) {
-      targets.borrow(borrowed, ageMs)
+    applyConfiguration: options.applyConfiguration,
+    applyTargets(borrowed, ageMs) {
+      targets.applyPeerList(borrowed, ageMs)
     },
     confirmTargets(ageMs) {
       targets.confirm(ageMs)
--- a/packages/router/src/node/peers/createStateBorrower.ts
+++ b/packages/router/src/node/peers/createStateBorrower.ts
@@ -1,11 +1,11 @@
 import { requestBytes } from '@auburnbay/http-utils/requestBytes'
 import type { DecisionLog } from '../logging/decisionLog.js'
 import { LogEvent } from '../logging/logEvent.js'
-import type { Placement } from '../routing/createPlacements.js'
+import type { CacheLocation } from '../routing/createCacheLocations.js'
 import type { Peer } from './createPeerTable.js'
 import { statePath } from './createPeerStateServer.js'
 import { decodePeerState } from './peerState.js'
-import type { RouterKnowledge } from './routerKnowledge.js'
+import type { RouterState } from './routerState.js'
 
 /** Milliseconds until a peer's answer is due. */
 const ANSWER_TIMEOUT_MS = 800
@@ -14,8 +14,8 @@
 
 /** What a borrower works with. */
 export interface StateBorrowerOptions {
-  readonly knowledge: RouterKnowledge
-  readonly onPlacements: (placements: readonly Placement[]) => void
+  readonly knowledge: RouterState
+  readonly onPlacements: (placements: readonly CacheLocation[]) => void
   readonly log: DecisionLog
   /** Steady clock, in milliseconds. */
   readonly now: () => number
@@ -75,11 +75,11 @@
     }
     hasAsked = true
     const { configuration, placements, targets, targetsAgeMs } = state
-    if (configuration) knowledge.takeConfiguration(configuration, router)
+    if (configuration) knowledge.applyConfiguration(configuration, router)
     if (placements) onPlacements(placements)
     const ageMs = (targetsAgeMs ?? Infinity) + now() - askedAtMs
     if (ageMs >= knowledge.targetsAgeMs()) return
-    if (targets) knowledge.takeTargets(targets, ageMs)
+    if (targets) knowledge.applyTargets(targets, ageMs)
   }
 
   return {
--- a/packages/router/src/node/peers/digestWork.ts
+++ b/packages/router/src/node/peers/digestLoad.ts
@@ -1,9 +1,9 @@
-import type { Placement } from '../routing/createPlacements.js'
-import type { TargetWork, WorkByTarget } from '../routing/targetWork.js'
+import type { CacheLocation } from '../routing/createCacheLocations.js'
+import type { TargetLoad, LoadByTarget } from '../routing/targetLoad.js'
 import type { PeerDigest } from './peerDigest.js'
 
 /** The part of a digest that names targets by their place in the list of ids. */
-export type DigestWork = Pick<PeerDigest, 'work' | 'placed'>
+export type DigestLoad = Pick<PeerDigest, 'work' | 'placed'>
 
 /** Tokens in one unit of a digest. */
 const TOKEN_UNIT = 100
@@ -25,14 +25,14 @@
 }
 
 /** Writes work and placements; those of targets that are not listed are left out. */
-export function encodeWork(
+export function encodeLoad(
   ids: readonly string[],
-  work: WorkByTarget,
-  placements: readonly Placement[],
-): DigestWork {
+  work: LoadByTarget,
+  placements: readonly CacheLocation[],
+): DigestLoad {
   const places = placesOf(ids)
   const told: number[] = []
-  for (const [id, { requests, unreadTokens }] of work) {
+  for (const [id, { requests, pendingPromptTokens: unreadTokens }] of work) {
     const place = places.get(id)
     if (place === undefined) continue
     told.push(place, requests, Math.round(unreadTokens / TOKEN_UNIT))
@@ -46,11 +46,11 @@
 }
 
 /** Reads the work that a digest tells. */
-export function decodeWork(
+export function decodeLoad(
   ids: readonly string[],
-  { work: told }: DigestWork,
-): WorkByTarget {
-  const work = new Map<string, TargetWork>()
+  { work: told }: DigestLoad,
+): LoadByTarget {
+  const work = new Map<string, TargetLoad>()
   for (let at = 0; at < told.length; at += NUMBERS_A_TARGET) {
     const [place = -1, requests = 0, units = 0] = told.slice(
       at,
@@ -58,17 +58,17 @@
     )
     const id = ids[place]
     if (id === undefined) continue
-    work.set(id, { requests, unreadTokens: units * TOKEN_UNIT })
+    work.set(id, { requests, pendingPromptTokens: units * TOKEN_UNIT })
   }
   return work
 }
 
 /** Reads the placements that a digest tells. */
-export function decodePlaced(
+export function decodeCacheLocations(
   ids: readonly string[],
-  { placed }: DigestWork,
-): Placement[] {
-  const placements: Placement[] = []
+  { placed }: DigestLoad,
+): CacheLocation[] {
+  const placements: CacheLocation[] = []
   for (const [key, place] of placed) {
     const id = ids[place]
     if (id !== undefined) placements.push([key, id])
--- a/packages/router/src/node/peers/joinDirectory.ts
+++ b/packages/router/src/node/peers/joinDirectory.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import {
-  DIRECTORY_READ_MS,
+  DIRECTORY_POLL_MS,
   DIRECTORY_RETRY_MS,
-  MAX_TOLD,
+  DIGEST_FANOUT,
 } from '../constants.js'
 import type { RouterDirectory } from '../routerPorts.js'
 import type { PeerAddress } from './peerAddress.js'
@@ -21,7 +21,7 @@
 
 /** Keeps the calls of all routers within a few a second, however many they are. */
 function readAgainMs(routers: number): number {
-  return DIRECTORY_READ_MS * Math.max(1, routers / MAX_TOLD)
+  return DIRECTORY_POLL_MS * Math.max(1, routers / DIGEST_FANOUT)
 }
 
 /** Enters a router in the list of routers, then reads the list now and then. */
@@ -39,7 +39,7 @@
   async function run(): Promise<void> {
     let isEntered = false
     while (!signal.aborted) {
-      isEntered ||= await directory.enter(router, address)
+      isEntered ||= await directory.register(router, address)
       const listed = await directory.list()
       // The answer to the entry may have been lost.
       isEntered ||= isSame(listed?.get(router), address)
--- a/packages/router/src/node/peers/peerState.ts
+++ b/packages/router/src/node/peers/peerState.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot'
 import { RequestKind } from '../configuration/requestKind.js'
 import type { RouterConfiguration } from '../configuration/routerConfiguration.js'
-import type { Placement } from '../routing/createPlacements.js'
+import type { CacheLocation } from '../routing/createCacheLocations.js'
 import type { Target } from '../targets/target.js'
 
 /** Bytes of a state once inflated; a router's whole memory is a few times as much. */
@@ -80,7 +80,7 @@
   /** Milliseconds up to which the lender surely has all changes of the list; null before the first time. */
   readonly targetsAgeMs: number | null
   /** Where prompts are cached. */
-  readonly placements?: readonly Placement[]
+  readonly placements?: readonly CacheLocation[]
 }
 
 /** Writes a state; many routers may fetch it at once over narrow links. */
--- a/packages/router/src/node/peers/routerKnowledge.ts
+++ b/packages/router/src/node/peers/routerState.ts
@@ -2,13 +2,13 @@
 import type { Target } from '../targets/target.js'
 
 /** What a router knows of configuration and targets, to be shared with peers. */
-export interface RouterKnowledge {
+export interface RouterState {
   configurationVersion(): number
   /** Milliseconds since this router itself read configurations. */
-  configurationReadMs(): number
+  configurationPollAgeMs(): number
   targetsFingerprint(): number
   /** Milliseconds since this router itself read the list of targets. */
-  targetsReadMs(): number
+  targetsPollAgeMs(): number
   /** Milliseconds up to which this router surely has all changes of the list. */
   targetsAgeMs(): number
   /** Returns the configuration in force if it is newer than `version`. */
@@ -16,8 +16,8 @@
   targets(): readonly Target[]
   /** Ids of all targets in order; the same wherever the fingerprint is. */
   targetIds(): readonly string[]
-  takeConfiguration(configuration: RouterConfiguration, from: string): void
-  takeTargets(targets: readonly Target[], ageMs: number): void
+  applyConfiguration(configuration: RouterConfiguration, from: string): void
+  applyTargets(targets: readonly Target[], ageMs: number): void
   /** Notes that a peer had the same list of targets `ageMs` ago. */
   confirmTargets(ageMs: number): void
 }
--- a/packages/router/src/node/routerPorts.ts
+++ b/packages/router/src/node/routerPorts.ts
@@ -9,7 +9,7 @@
 /** The list that routers enter themselves in, to find each other. */
 export interface RouterDirectory {
   /** Enters this router; resolves with whether it is surely in. */
-  enter(router: string, address: PeerAddress): Promise<boolean>
+  register(router: string, address: PeerAddress): Promise<boolean>
   /** Returns the routers that entered, or undefined while the list cannot be read. */
   list(): Promise<ReadonlyMap<string, PeerAddress> | undefined>
 }
--- a/packages/router/src/node/routing/__tests__/createFleetLoad.test.ts
+++ b/packages/router/src/node/routing/__tests__/createFleetLoad.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
 import { createFleetLoad } from '../createFleetLoad.js'
-import { NO_WORK, type TargetWork } from '../targetWork.js'
+import { NO_LOAD, type TargetLoad } from '../targetLoad.js'
 
 const STALE_MS = 1_000
 const TARGETS = ['a', 'b', 'c']
@@ -11,9 +11,9 @@
   .map(
     (entries) =>
       new Map(
-        entries.map(([id, requests]): [string, TargetWork] => [
+        entries.map(([id, requests]): [string, TargetLoad] => [
           id,
-          { requests, unreadTokens: requests * 100 },
+          { requests, pendingPromptTokens: requests * 100 },
         ]),
       ),
   )
@@ -30,24 +30,27 @@
         const load = createFleetLoad(() => STALE_MS)
         const last = new Map<
           string,
-          { work: ReadonlyMap<string, TargetWork>; atMs: number }
+          { work: ReadonlyMap<string, TargetLoad>; atMs: number }
         >()
         let nowMs = 0
         for (const { router, afterMs, work: theirs } of told) {
           nowMs += afterMs
-          load.heard(router, theirs, nowMs)
+          load.updatePeer(router, theirs, nowMs)
           last.set(router, { work: theirs, atMs: nowMs })
           for (const id of TARGETS) {
             let requests = 0
-            let unreadTokens = 0
+            let pendingPromptTokens = 0
             for (const { work: known, atMs } of last.values()) {
               if (nowMs - atMs > STALE_MS) continue
-              const one = known.get(id) ?? NO_WORK
+              const one = known.get(id) ?? NO_LOAD
               requests += one.requests
-              unreadTokens += one.unreadTokens
+              pendingPromptTokens += one.pendingPromptTokens
             }
             const total = load.total(id, nowMs)
-            assert.deepEqual(total, { requests, unreadTokens })
+            assert.deepEqual(total, {
+              requests,
+              pendingPromptTokens: pendingPromptTokens,
+            })
           }
         }
       }),
@@ -57,11 +60,21 @@
 
   it('adds what this router has under way', () => {
     const load = createFleetLoad(() => STALE_MS)
-    load.heard('r1', new Map([['a', { requests: 2, unreadTokens: 50 }]]), 0)
-    load.started('a', 70)
-    load.read('a', 70)
-    assert.deepEqual(load.total('a', 10), { requests: 3, unreadTokens: 50 })
-    load.ended('a')
-    assert.deepEqual(load.total('a', 20), { requests: 2, unreadTokens: 50 })
+    load.updatePeer(
+      'r1',
+      new Map([['a', { requests: 2, pendingPromptTokens: 50 }]]),
+      0,
+    )
+    load.recordStart('a', 70)
+    load.releasePromptTokens('a', 70)
+    assert.deepEqual(load.total('a', 10), {
+      requests: 3,
+      pendingPromptTokens: 50,
+    })
+    load.recordEnd('a')
+    assert.deepEqual(load.total('a', 20), {
+      requests: 2,
+      pendingPromptTokens: 50,
+    })
   })
 })
--- a/packages/router/src/node/routing/__tests__/choosePlace.test.ts
+++ b/packages/router/src/node/routing/__tests__/selectTarget.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
 import type { Target } from '../../targets/target.js'
-import { choosePlace } from '../choosePlace.js'
+import { selectTarget } from '../selectTarget.js'
 
 /** Times the mean load, and requests above it, that a target may hold. */
 const LOAD_FACTOR = 2
@@ -23,20 +23,20 @@
   (load: (id: string) => number, unread = 0) =>
   (id: string) => ({
     requests: load(id),
-    unreadTokens: unread,
+    pendingPromptTokens: unread,
   })
 
 describe('choosePlace', () => {
   it('sends what shares a prompt to one target while loads allow', () => {
     const question = {
       targets: targets(13),
-      work: workOf(() => 3),
+      load: workOf(() => 3),
       affinity: 'prompt',
       promptTokens: 800,
-      holders: [],
+      cachedOn: [],
     }
-    const first = choosePlace({ ...question, spread: '1' })
-    const second = choosePlace({ ...question, spread: '2' })
+    const first = selectTarget({ ...question, tieBreaker: '1' })
+    const second = selectTarget({ ...question, tieBreaker: '2' })
     assert.equal(first?.id, second?.id)
   })
 
@@ -49,12 +49,12 @@
         (loads, affinity, hasAffinity) => {
           const list = targets(loads.length)
           const load = (id: string) => loads[Number(id.slice(1))] ?? 0
-          const place = choosePlace({
+          const place = selectTarget({
             targets: list,
-            work: workOf(load),
-            spread: 'x',
+            load: workOf(load),
+            tieBreaker: 'x',
             promptTokens: 800,
-            holders: [],
+            cachedOn: [],
             ...(hasAffinity && { affinity }),
           })
           assert.ok(place)
@@ -73,16 +73,24 @@
       targets: list,
       affinity: 'hot',
       promptTokens: 800,
-      holders: [],
+      cachedOn: [],
     }
-    const home = choosePlace({
+    const home = selectTarget({
       ...question,
-      spread: '1',
-      work: workOf(() => 0),
+      tieBreaker: '1',
+      load: workOf(() => 0),
     })
     const load = (id: string) => (id === home?.id ? 50 : 1)
-    const next = choosePlace({ ...question, spread: '1', work: workOf(load) })
-    const other = choosePlace({ ...question, spread: '2', work: workOf(load) })
+    const next = selectTarget({
+      ...question,
+      tieBreaker: '1',
+      load: workOf(load),
+    })
+    const other = selectTarget({
+      ...question,
+      tieBreaker: '2',
+      load: workOf(load),
+    })
     assert.notEqual(next?.id, home?.id)
     assert.equal(next?.id, other?.id)
   })
@@ -90,20 +98,20 @@
   it('stays with the target that holds a prompt when others join', () => {
     const before = {
       targets: targets(4),
-      work: workOf(() => 2),
+      load: workOf(() => 2),
       promptTokens: 800,
-      holders: [],
+      cachedOn: [],
     }
     for (let i = 0; i < 40; i += 1) {
-      const key = { affinity: `prompt ${i}`, spread: String(i) }
-      const home = choosePlace({ ...before, ...key })
+      const key = { affinity: `prompt ${i}`, tieBreaker: String(i) }
+      const home = selectTarget({ ...before, ...key })
       const after = {
         ...before,
         targets: targets(8),
         promptTokens: 800,
-        holders: [home?.id ?? ''],
+        cachedOn: [home?.id ?? ''],
       }
-      assert.equal(choosePlace({ ...after, ...key })?.id, home?.id)
+      assert.equal(selectTarget({ ...after, ...key })?.id, home?.id)
     }
   })
 
@@ -113,29 +121,29 @@
       targets: list,
       affinity: 'new',
       promptTokens: 800,
-      holders: [],
-      spread: '1',
+      cachedOn: [],
+      tieBreaker: '1',
     }
-    const home = choosePlace({ ...question, work: workOf(() => 1) })
+    const home = selectTarget({ ...question, load: workOf(() => 1) })
     const work = (id: string) => ({
       requests: 1,
-      unreadTokens: id === home?.id ? 12_000 : 0,
+      pendingPromptTokens: id === home?.id ? 12_000 : 0,
     })
-    assert.notEqual(choosePlace({ ...question, work })?.id, home?.id)
+    assert.notEqual(selectTarget({ ...question, load: work })?.id, home?.id)
     const long = { ...question, promptTokens: 12_000 }
-    const longHome = choosePlace({ ...long, work: workOf(() => 1) })
-    assert.equal(choosePlace({ ...long, work })?.id, longHome?.id)
+    const longHome = selectTarget({ ...long, load: workOf(() => 1) })
+    assert.equal(selectTarget({ ...long, load: work })?.id, longHome?.id)
   })
 
   it('leaves a holder that is over the bound', () => {
     const load = (id: string) => (id === 't0' ? 40 : 1)
-    const place = choosePlace({
+    const place = selectTarget({
       targets: targets(6),
-      work: workOf(load),
+      load: workOf(load),
       affinity: 'prompt',
       promptTokens: 800,
-      holders: ['t0'],
-      spread: '1',
+      cachedOn: ['t0'],
+      tieBreaker: '1',
     })
     assert.notEqual(place?.id, 't0')
   })
@@ -145,12 +153,12 @@
     const seen = new Set<string | undefined>()
     for (let i = 0; i < 50; i += 1)
       seen.add(
-        choosePlace({
+        selectTarget({
           targets: list,
-          work: workOf(() => 0),
-          spread: String(i),
+          load: workOf(() => 0),
+          tieBreaker: String(i),
           promptTokens: 800,
-          holders: [],
+          cachedOn: [],
         })?.id,
       )
     assert.equal(seen.size, 3)
@@ -159,11 +167,11 @@
   it('finds no place among no targets', () => {
     const question = {
       targets: [],
-      work: workOf(() => 0),
-      spread: 'x',
+      load: workOf(() => 0),
+      tieBreaker: 'x',
       promptTokens: 800,
-      holders: [],
+      cachedOn: [],
     }
-    assert.equal(choosePlace(question), undefined)
+    assert.equal(selectTarget(question), undefined)
   })
 })
--- a/packages/router/src/node/routing/createPlacements.ts
+++ b/packages/router/src/node/routing/createCacheLocations.ts
@@ -4,22 +4,22 @@
 type Holders = readonly string[]
 
 /** A prompt, by its affinity key, and a target that now holds it. */
-export type Placement = readonly [key: string, targetId: string]
+export type CacheLocation = readonly [key: string, targetId: string]
 
 /** Where prompts are cached, as far as routers told each other. */
-export interface Placements {
+export interface CacheLocations {
   /** Notes that this router sent a prompt to a target. */
-  placed(key: string, targetId: string): void
+  add(key: string, targetId: string): void
   /** Notes that a target did not get a prompt after all. */
-  lost(key: string, targetId: string): void
+  remove(key: string, targetId: string): void
   /** Takes in what a peer placed. */
-  heard(placements: readonly Placement[]): void
+  merge(placements: readonly CacheLocation[]): void
   /** Returns the targets that hold a prompt, the latest first. */
-  holders(key: string): Holders
+  cachedOn(key: string): Holders
   /** Returns what this router placed since the last call. */
-  takeNews(): Placement[]
+  takeUpdates(): CacheLocation[]
   /** Returns the latest holder of every prompt. */
-  all(): Placement[]
+  all(): CacheLocation[]
 }
 
 /** Targets that are remembered for one prompt. */
@@ -31,7 +31,7 @@
  * Creates an empty memory.
  * @param maxKeys Prompts that are remembered; the least recently used are forgotten.
  */
-export function createPlacements(maxKeys: number): Placements {
+export function createCacheLocations(maxKeys: number): CacheLocations {
   const byKey = new LRUCache<string, Holders>({ max: maxKeys })
   let news = new Map<string, string>()
 
@@ -43,27 +43,27 @@
   }
 
   return {
-    placed(key, targetId) {
+    add(key, targetId) {
       add(key, targetId)
       if (news.size < MAX_NEWS) news.set(key, targetId)
     },
-    lost(key, targetId) {
+    remove(key, targetId) {
       const others = (byKey.get(key) ?? []).filter((id) => id !== targetId)
       if (others.length > 0) byKey.set(key, others)
       else byKey.delete(key)
       if (news.get(key) === targetId) news.delete(key)
     },
-    heard(placements) {
+    merge(placements) {
       for (const [key, targetId] of placements) add(key, targetId)
     },
-    holders: (key) => byKey.get(key) ?? [],
-    takeNews() {
+    cachedOn: (key) => byKey.get(key) ?? [],
+    takeUpdates() {
       const taken = [...news]
       news = new Map()
       return taken
     },
     all() {
-      const all: Placement[] = []
+      const all: CacheLocation[] = []
       for (const [key, [latest]] of byKey.entries())
         if (latest !== undefined) all.push([key, latest])
       return all
--- a/packages/router/src/node/routing/createFleetLoad.ts
+++ b/packages/router/src/node/routing/createFleetLoad.ts
@@ -1,22 +1,22 @@
-import { NO_WORK, type TargetWork, type WorkByTarget } from './targetWork.js'
+import { NO_LOAD, type TargetLoad, type LoadByTarget } from './targetLoad.js'
 
 /** Work under way at targets, from this router and its peers. */
 export interface FleetLoad {
   /** A request is sent, of whose prompt the target must read `unreadTokens`. */
-  started(targetId: string, unreadTokens: number): void
+  recordStart(targetId: string, unreadTokens: number): void
   /** The target has read that many tokens, or never will. */
-  read(targetId: string, tokens: number): void
-  ended(targetId: string): void
+  releasePromptTokens(targetId: string, tokens: number): void
+  recordEnd(targetId: string): void
   /** Work that this router has under way. */
-  own(): WorkByTarget
+  own(): LoadByTarget
   /** Takes in what a peer has under way. */
-  heard(router: string, work: WorkByTarget, nowMs: number): void
+  updatePeer(router: string, work: LoadByTarget, nowMs: number): void
   /** Work that all routers have under way at a target. */
-  total(targetId: string, nowMs: number): TargetWork
+  total(targetId: string, nowMs: number): TargetLoad
 }
 
 interface PeerWork {
-  readonly work: WorkByTarget
+  readonly work: LoadByTarget
   readonly heardAtMs: number
 }
 
@@ -25,22 +25,22 @@
  * @param staleMs Milliseconds after which what a peer told is no longer used.
  */
 export function createFleetLoad(staleMs: () => number): FleetLoad {
-  const own = new Map<string, TargetWork>()
+  const own = new Map<string, TargetLoad>()
   const peers = new Map<string, PeerWork>()
   // Sums over the peers, so that a look at a target need not ask each of them.
-  const told = new Map<string, TargetWork>()
+  const told = new Map<string, TargetLoad>()
   let checkedAtMs = -Infinity
 
   function addTo(
-    sums: Map<string, TargetWork>,
+    sums: Map<string, TargetLoad>,
     targetId: string,
     requests: number,
     tokens: number,
   ): void {
-    const work = sums.get(targetId) ?? NO_WORK
+    const work = sums.get(targetId) ?? NO_LOAD
     const sum = {
       requests: work.requests + requests,
-      unreadTokens: work.unreadTokens + tokens,
+      pendingPromptTokens: work.pendingPromptTokens + tokens,
     }
     if (sum.requests > 0) sums.set(targetId, sum)
     else sums.delete(targetId)
@@ -50,7 +50,10 @@
     const last = peers.get(router)
     if (!last) return
     peers.delete(router)
-    for (const [id, { requests, unreadTokens }] of last.work)
+    for (const [
+      id,
+      { requests, pendingPromptTokens: unreadTokens },
+    ] of last.work)
       addTo(told, id, -requests, -unreadTokens)
   }
 
@@ -63,29 +66,30 @@
   }
 
   return {
-    started(targetId, unreadTokens) {
+    recordStart(targetId, unreadTokens) {
       addTo(own, targetId, 1, unreadTokens)
     },
-    read(targetId, tokens) {
+    releasePromptTokens(targetId, tokens) {
       addTo(own, targetId, 0, -tokens)
     },
-    ended(targetId) {
+    recordEnd(targetId) {
       addTo(own, targetId, -1, 0)
     },
     own: () => own,
-    heard(router, work, nowMs) {
+    updatePeer(router, work, nowMs) {
       forget(router)
       peers.set(router, { work, heardAtMs: nowMs })
-      for (const [id, { requests, unreadTokens }] of work)
+      for (const [id, { requests, pendingPromptTokens: unreadTokens }] of work)
         addTo(told, id, requests, unreadTokens)
     },
     total(targetId, nowMs) {
       dropStale(nowMs)
-      const mine = own.get(targetId) ?? NO_WORK
-      const theirs = told.get(targetId) ?? NO_WORK
+      const mine = own.get(targetId) ?? NO_LOAD
+      const theirs = told.get(targetId) ?? NO_LOAD
       return {
         requests: mine.requests + theirs.requests,
-        unreadTokens: mine.unreadTokens + theirs.unreadTokens,
+        pendingPromptTokens:
+          mine.pendingPromptTokens + theirs.pendingPromptTokens,
       }
     },
   }
--- a/packages/router/src/node/routing/choosePlace.ts
+++ b/packages/router/src/node/routing/selectTarget.ts
@@ -1,20 +1,20 @@
 import { rendezvousOrder } from '@auburnbay/core/routing/rendezvousOrder'
 import type { Target } from '../targets/target.js'
-import type { TargetWork } from './targetWork.js'
+import type { TargetLoad } from './targetLoad.js'
 
 /** What a choice is made from. */
-export interface PlaceQuestion {
+export interface SelectTargetOptions {
   /** Targets that may run the request. */
   readonly targets: readonly Target[]
   /** Work under way at a target, from the whole fleet. */
-  readonly work: (targetId: string) => TargetWork
+  readonly load: (targetId: string) => TargetLoad
   /** What the request shares with others; undefined spreads it. */
   readonly affinity?: string
   readonly promptTokens: number
   /** Ids of targets that hold what the request shares, the preferred first. */
-  readonly holders: readonly string[]
+  readonly cachedOn: readonly string[]
   /** Breaks ties, other for each request. */
-  readonly spread: string
+  readonly tieBreaker: string
 }
 
 /** Times the mean load that a target with a cached prompt may hold; below the bound of 2. */
@@ -35,7 +35,7 @@
 }
 
 function leastLoaded(
-  { work, spread }: PlaceQuestion,
+  { load: work, tieBreaker: spread }: SelectTargetOptions,
   targets: readonly Target[],
 ): Target | undefined {
   let best: Target | undefined
@@ -51,13 +51,13 @@
 
 /** Returns the target that has least to read, the first of equals. */
 function leastToRead(
-  { work }: PlaceQuestion,
+  { load: work }: SelectTargetOptions,
   targets: readonly Target[],
 ): Target | undefined {
   let best: Target | undefined
   let bestTokens = Infinity
   for (const target of targets) {
-    const { unreadTokens } = work(target.id)
+    const { pendingPromptTokens: unreadTokens } = work(target.id)
     if (unreadTokens >= bestTokens) continue
     best = target
     bestTokens = unreadTokens
@@ -66,7 +66,7 @@
 }
 
 /** Returns the targets that may take one more without carrying too much. */
-function withinBound({ targets, work }: PlaceQuestion): Target[] {
+function withinBound({ targets, load: work }: SelectTargetOptions): Target[] {
   let total = 0
   for (const { id } of targets) total += work(id).requests
   const mean = total / Math.max(1, targets.length)
@@ -75,8 +75,10 @@
 }
 
 /** Chooses the target of a request; undefined where there is none. */
-export function choosePlace(question: PlaceQuestion): Target | undefined {
-  const { targets, affinity, holders } = question
+export function selectTarget(
+  question: SelectTargetOptions,
+): Target | undefined {
+  const { targets, affinity, cachedOn: holders } = question
   if (affinity === undefined) return leastLoaded(question, targets)
   const open = withinBound(question)
   const holding = holders.flatMap((id) => open.filter((one) => one.id === id))
--- a/packages/router/src/node/routing/targetWork.ts
+++ b/packages/router/src/node/routing/targetLoad.ts
@@ -1,13 +1,13 @@
 /** What routers have under way at a target. */
-export interface TargetWork {
+export interface TargetLoad {
   /** Requests in flight. */
   readonly requests: number
   /** Prompt tokens that the target has to read before those requests begin to answer. */
-  readonly unreadTokens: number
+  readonly pendingPromptTokens: number
 }
 
 /** Work under way, by target id. */
-export type WorkByTarget = ReadonlyMap<string, TargetWork>
+export type LoadByTarget = ReadonlyMap<string, TargetLoad>
 
 /** A target without work. */
-export const NO_WORK: TargetWork = { requests: 0, unreadTokens: 0 }
+export const NO_LOAD: TargetLoad = { requests: 0, pendingPromptTokens: 0 }
--- a/packages/router/src/node/sources/__tests__/createSourceFollower.test.ts
+++ b/packages/router/src/node/sources/__tests__/createSourceFollower.test.ts
@@ -50,12 +50,12 @@
         return page
       },
     },
-    pauseMs: 0,
+    pollIntervalMs: 0,
     now: () => (nowMs += 100),
     onListing: (values) => seen.push(`listing ${[...values.keys()].join()}`),
     onEntry: ({ key, value }) => seen.push(`${key}=${value ?? 'gone'}`),
-    onLost: (fault) => seen.push(`lost ${fault}`),
-    onRegained: (lostMs) => seen.push(`regained ${lostMs > 0}`),
+    onUnavailable: (fault) => seen.push(`lost ${fault}`),
+    onRecovered: (lostMs) => seen.push(`regained ${lostMs > 0}`),
   })
   await once(done, 'done')
   follower.stop()
--- a/packages/router/src/node/sources/createSourceFollower.ts
+++ b/packages/router/src/node/sources/createSourceFollower.ts
@@ -9,24 +9,24 @@
 export interface SourceFollowerOptions<T> {
   readonly source: KeyedSource<T>
   /** Milliseconds between two readings. */
-  readonly pauseMs: number
+  readonly pollIntervalMs: number
   /** Steady clock, in milliseconds. */
   readonly now: () => number
   /** Whether a peer reads for this router; it then reads only once. */
-  readonly isCovered?: () => boolean
+  readonly hasFreshReader?: () => boolean
   readonly onListing: (values: ReadonlyMap<string, T>) => void
   readonly onEntry: (entry: SourceEntry<T>) => void
   /** Called after each answer of the source, once its changes are taken in. */
   readonly onRead?: () => void
-  readonly onLost?: (fault: SourceFault) => void
+  readonly onUnavailable?: (fault: SourceFault) => void
   /** Called before the first changes after an outage, with its length. */
-  readonly onRegained?: (lostMs: number) => void
+  readonly onRecovered?: (lostMs: number) => void
 }
 
 /** Reads a source again and again. */
 export interface SourceFollower {
   /** Milliseconds since the source last answered this router; infinite before the first time. */
-  ageMs(): number
+  lastPollAgeMs(): number
   stop(): void
 }
 
@@ -44,7 +44,7 @@
   function answered(): void {
     readAtMs = now()
     if (lostSinceMs === undefined) return
-    options.onRegained?.(readAtMs - lostSinceMs)
+    options.onRecovered?.(readAtMs - lostSinceMs)
     lostSinceMs = undefined
   }
 
@@ -55,7 +55,7 @@
     }
     if (lostSinceMs !== undefined) return
     lostSinceMs = now()
-    options.onLost?.(fault)
+    options.onUnavailable?.(fault)
   }
 
   async function list(): Promise<boolean> {
@@ -88,9 +88,10 @@
   }
 
   async function readOnce(): Promise<number> {
-    if (end === undefined) return (await list()) ? options.pauseMs : RETRY_MS
-    if (options.isCovered?.()) return RETRY_MS
-    return (await readOn(end)) ? options.pauseMs : RETRY_MS
+    if (end === undefined)
+      return (await list()) ? options.pollIntervalMs : RETRY_MS
+    if (options.hasFreshReader?.()) return RETRY_MS
+    return (await readOn(end)) ? options.pollIntervalMs : RETRY_MS
   }
 
   async function run(): Promise<void> {
@@ -102,7 +103,7 @@
 
   void run()
   return {
-    ageMs: () => now() - readAtMs,
+    lastPollAgeMs: () => now() - readAtMs,
     stop: () => {
       stopping.abort()
     },
--- a/packages/router/src/node/sources/createSourceLines.ts
+++ b/packages/router/src/node/sources/createSourceLogger.ts
@@ -3,21 +3,21 @@
 import type { SourceFault } from './sourceFault.js'
 
 /** Lines on a source that stopped answering or answers again. */
-export interface SourceLines {
-  readonly lost: (fault: SourceFault) => void
-  readonly regained: (lostMs: number) => void
+export interface SourceLogger {
+  readonly logUnavailable: (fault: SourceFault) => void
+  readonly logRecovered: (lostMs: number) => void
 }
 
 /** Creates the lines of one source, by its name. */
-export function createSourceLines(
+export function createSourceLogger(
   log: DecisionLog,
   source: string,
-): SourceLines {
+): SourceLogger {
   return {
-    lost: (fault) => {
+    logUnavailable: (fault) => {
       log.write(LogEvent.SourceLost, { source, fault })
     },
-    regained: (lostMs) => {
+    logRecovered: (lostMs) => {
       log.write(LogEvent.SourceRegained, {
         source,
         lostMs: Math.round(lostMs),
--- a/packages/router/src/node/targets/__tests__/createTargetView.test.ts
+++ b/packages/router/src/node/targets/__tests__/createTargetList.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { createTargetView } from '../createTargetView.js'
+import { createTargetList } from '../createTargetList.js'
 import type { Target } from '../target.js'
 
 const REJOIN_MS = 2_000
@@ -23,50 +23,50 @@
 
 describe('createTargetView', () => {
   it('gives no work to a target that leaves, at once', () => {
-    const view = createTargetView(REJOIN_MS)
-    view.put(target('a'))
-    view.put(target('b'))
-    view.put(target('a', { draining: true }))
+    const view = createTargetList(REJOIN_MS)
+    view.set(target('a'))
+    view.set(target('b'))
+    view.set(target('a', { draining: true }))
     assert.deepEqual(ids(view.ready('s', NOW_MS)), ['b'])
     assert.equal(view.find('a')?.draining, true)
   })
 
   it('drops a target whose entry went', () => {
-    const view = createTargetView(REJOIN_MS)
-    view.put(target('a'))
+    const view = createTargetList(REJOIN_MS)
+    view.set(target('a'))
     view.remove('a', 1)
     assert.deepEqual(view.ready('s', NOW_MS), [])
   })
 
   it('waits after an outage for entries that it lost', () => {
-    const view = createTargetView(REJOIN_MS)
-    for (const id of ['a', 'b']) view.put(target(id))
-    view.regained(10_000)
+    const view = createTargetList(REJOIN_MS)
+    for (const id of ['a', 'b']) view.set(target(id))
+    view.startRejoinWindow(10_000)
     for (const id of ['a', 'b']) view.remove(id, 10_001)
     assert.deepEqual(ids(view.ready('s', NOW_MS)), ['a', 'b'])
-    view.put(target('a'))
+    view.set(target('a'))
     const lastMs = 10_000 + REJOIN_MS
     assert.deepEqual(ids(view.ready('s', lastMs - 0.1)), ['a', 'b'])
     assert.deepEqual(ids(view.ready('s', lastMs)), ['a'])
   })
 
   it('takes a target that leaves out, also while it waits', () => {
-    const view = createTargetView(REJOIN_MS)
-    view.put(target('a'))
-    view.regained(0)
-    view.put(target('a', { draining: true }))
+    const view = createTargetList(REJOIN_MS)
+    view.set(target('a'))
+    view.startRejoinWindow(0)
+    view.set(target('a', { draining: true }))
     assert.deepEqual(view.ready('s', NOW_MS), [])
   })
 
   it('has one fingerprint for the same targets, however they came', () => {
-    const one = createTargetView(REJOIN_MS)
-    const other = createTargetView(REJOIN_MS)
-    for (const id of ['a', 'b']) one.put(target(id))
-    for (const id of ['b', 'c', 'a']) other.put(target(id))
+    const one = createTargetList(REJOIN_MS)
+    const other = createTargetList(REJOIN_MS)
+    for (const id of ['a', 'b']) one.set(target(id))
+    for (const id of ['b', 'c', 'a']) other.set(target(id))
     assert.notEqual(one.fingerprint(), other.fingerprint())
     other.remove('c', 0)
     assert.equal(one.fingerprint(), other.fingerprint())
-    other.put(target('a', { draining: true }))
+    other.set(target('a', { draining: true }))
     assert.notEqual(one.fingerprint(), other.fingerprint())
   })
 })
--- a/packages/router/src/node/targets/__tests__/followTargets.test.ts
+++ b/packages/router/src/node/targets/__tests__/followTargets.test.ts
@@ -4,7 +4,7 @@
 import { err, ok } from 'neverthrow'
 import { SourceFault } from '../../sources/sourceFault.js'
 import type { KeyedSource, SourceEntry } from '../../sources/keyedSource.js'
-import { createTargetView } from '../createTargetView.js'
+import { createTargetList } from '../createTargetList.js'
 import { followTargets } from '../followTargets.js'
 import type { Target } from '../target.js'
 
@@ -32,13 +32,13 @@
           : ok({ entries: changes.splice(0), end: from }),
       ),
   }
-  const view = createTargetView(2_000)
+  const view = createTargetList(2_000)
   const follower = followTargets({
     source,
-    view,
-    pauseMs: 1,
-    unreadAtMs: () => unreadAtMs,
-    isCovered: () => covered,
+    targetList: view,
+    pollIntervalMs: 1,
+    lastFleetOutageAtMs: () => unreadAtMs,
+    hasFreshReader: () => covered,
     onChange: () => undefined,
     log: { write: () => undefined },
     now: () => nowMs,
@@ -78,7 +78,7 @@
     test.cover(true)
     await test.settle()
     test.advance(800)
-    test.follower.borrow([target('a'), target('b')], 50)
+    test.follower.applyPeerList([target('a'), target('b')], 50)
     assert.deepEqual(test.ready(), ['a', 'b'])
     assert.equal(test.follower.ageMs(), 50)
     test.follower.stop()
@@ -91,8 +91,8 @@
     assert.deepEqual(test.ready(), [])
     test.cover(true)
     await test.settle()
-    test.follower.borrow([target('a'), target('b', true)], 0)
-    test.follower.borrow([target('b')], 0)
+    test.follower.applyPeerList([target('a'), target('b', true)], 0)
+    test.follower.applyPeerList([target('b')], 0)
     assert.deepEqual(test.ready(), [])
     test.follower.stop()
   })
@@ -114,7 +114,7 @@
     test.changes.push({ key: 'a', value: target('a', true) })
     await test.settle()
     assert.deepEqual(test.ready(), ['a'])
-    test.follower.doubt()
+    test.follower.invalidate()
     assert.equal(test.follower.ageMs(), Infinity)
     // A follower that is covered looks a quarter of a second later.
     await new Promise((resolve) => setTimeout(resolve, 300))
--- a/packages/router/src/node/targets/createTargetClient.ts
+++ b/packages/router/src/node/targets/createTargetClient.ts
@@ -10,31 +10,31 @@
 } from '@auburnbay/http-utils/exchange'
 import { err, ok, type Result } from 'neverthrow'
 import type { Call } from '../callers/call.js'
-import type { AnswerHead } from './answerHead.js'
+import type { ResponseHead } from './responseHead.js'
 import type { Target } from './target.js'
 import { type TargetFailure, TargetFailureCause } from './targetFailure.js'
-import type { TargetOrders, TargetProtocol } from './targetProtocol.js'
+import type { TargetRequestOptions, TargetProtocol } from './targetProtocol.js'
 
 /** A target's answer, its body still to be read. */
-export interface TargetAnswer {
-  readonly head: AnswerHead
+export interface TargetResponse {
+  readonly head: ResponseHead
   readonly res: IncomingMessage
 }
 
 /** One send of a call. */
 export interface TargetSend {
   readonly call: Call
-  readonly orders: TargetOrders
+  readonly options: TargetRequestOptions
   readonly signal: AbortSignal
   /** Milliseconds until the first byte of the answer. */
-  readonly patienceMs: number
+  readonly headerTimeoutMs: number
 }
 
 /** Sends requests to targets. */
 export interface TargetClient {
-  send(send: TargetSend): Promise<Result<TargetAnswer, TargetFailure>>
+  send(send: TargetSend): Promise<Result<TargetResponse, TargetFailure>>
   /** Gives up every kept connection to a target. */
-  condemn(target: Target): void
+  discardConnections(target: Target): void
   close(): void
 }
 
@@ -43,12 +43,12 @@
   readonly protocol: TargetProtocol
   readonly connectTimeoutMs: number
   /** Milliseconds that a connection is kept without a request. */
-  readonly keptIdleMs: number
+  readonly keepAliveTimeoutMs: number
 }
 
 const CAUSES: Readonly<Record<ExchangeError, TargetFailureCause>> = {
   [ExchangeError.Broken]: TargetFailureCause.Broken,
-  [ExchangeError.Silent]: TargetFailureCause.Silent,
+  [ExchangeError.TimedOut]: TargetFailureCause.Silent,
   [ExchangeError.Aborted]: TargetFailureCause.Aborted,
 }
 
@@ -65,7 +65,7 @@
   return { verdict: verdictOfAttempt(progress), cause, message }
 }
 
-function findFault(head: AnswerHead): TargetFailure | undefined {
+function findFault(head: ResponseHead): TargetFailure | undefined {
   const { status } = head
   const message = `the target answered ${status}`
   if (!head.isForRequest)
@@ -97,16 +97,16 @@
 
 /** Creates a client that keeps connections between requests. */
 export function createTargetClient(options: TargetClientOptions): TargetClient {
-  const { protocol, connectTimeoutMs, keptIdleMs } = options
+  const { protocol, connectTimeoutMs, keepAliveTimeoutMs: keptIdleMs } = options
   const agent = new ConnectionPool(keptIdleMs)
   const addressOf = ({ host, port }: Target) => `${host}:${port}`
 
   async function send({
     call,
-    orders,
+    options: orders,
     signal,
-    patienceMs,
-  }: TargetSend): Promise<Result<TargetAnswer, TargetFailure>> {
+    headerTimeoutMs: patienceMs,
+  }: TargetSend): Promise<Result<TargetResponse, TargetFailure>> {
     const { target } = orders
     const address = addressOf(target)
     const result = await exchange({
@@ -119,12 +119,13 @@
       agent,
       limits: { connectTimeoutMs, firstByteTimeoutMs: patienceMs },
       onSocket: (socket) => {
-        agent.note(socket, address)
+        agent.recordConnection(socket, address)
       },
     })
     if (result.isErr()) {
       // A silent connection says that others of its age may be dead too.
-      if (result.error.error === ExchangeError.Silent) agent.condemn(address)
+      if (result.error.error === ExchangeError.TimedOut)
+        agent.retireConnections(address)
       return err(describe(result.error))
     }
     const res = result.value
@@ -134,15 +135,15 @@
     if (fault.verdict === Verdict.NotRun) res.resume()
     else {
       res.destroy()
-      agent.condemn(address)
+      agent.retireConnections(address)
     }
     return err(fault)
   }
 
   return {
     send,
-    condemn(target) {
-      agent.condemn(addressOf(target))
+    discardConnections(target) {
+      agent.retireConnections(addressOf(target))
     },
     close() {
       agent.destroy()
--- a/packages/router/src/node/targets/createTargetView.ts
+++ b/packages/router/src/node/targets/createTargetList.ts
@@ -10,7 +10,7 @@
 }
 
 /** The targets that may get work, as far as this router knows. */
-export interface TargetView {
+export interface TargetList {
   /** Returns the targets of a service that are not leaving. */
   ready(service: string, nowMs: number): readonly Target[]
   /** Returns a target that is listed, leaving or not. */
@@ -20,17 +20,17 @@
   ids(): readonly string[]
   /** Tells two views apart; the same for the same targets. */
   fingerprint(): number
-  put(target: Target): void
+  set(target: Target): void
   remove(id: string, nowMs: number): void
   /** Notes that the list can be read again after an outage. */
-  regained(nowMs: number): void
+  startRejoinWindow(nowMs: number): void
 }
 
 /**
  * Creates an empty view.
  * @param rejoinMs Milliseconds after an outage of the list within which entries that it lost come back.
  */
-export function createTargetView(rejoinMs: number): TargetView {
+export function createTargetList(rejoinMs: number): TargetList {
   const targets = new Map<string, Target>()
   const missing = new Set<string>()
   let byService: Map<string, Target[]> | undefined
@@ -97,9 +97,9 @@
       fingerprint ??= fingerprintOf(targets.values())
       return fingerprint
     },
-    put,
+    set: put,
     remove,
-    regained(nowMs) {
+    startRejoinWindow(nowMs) {
       rejoinUntilMs = nowMs + rejoinMs
     },
   }
--- a/packages/router/src/node/targets/followTargets.ts
+++ b/packages/router/src/node/targets/followTargets.ts
@@ -1,11 +1,11 @@
 import { LRUCache } from 'lru-cache'
-import { REJOIN_MS, SHORT_OUTAGE_MS } from '../constants.js'
+import { REJOIN_WINDOW_MS, SHORT_OUTAGE_MS } from '../constants.js'
 import type { DecisionLog } from '../logging/decisionLog.js'
 import { LogEvent } from '../logging/logEvent.js'
 import { createSourceFollower } from '../sources/createSourceFollower.js'
-import { createSourceLines } from '../sources/createSourceLines.js'
+import { createSourceLogger } from '../sources/createSourceLogger.js'
 import type { KeyedSource } from '../sources/keyedSource.js'
-import type { TargetView } from './createTargetView.js'
+import type { TargetList } from './createTargetList.js'
 import type { Target } from './target.js'
 
 /** Targets that went and are remembered; far more than go while an old list is about. */
@@ -14,15 +14,15 @@
 /** What the follower of targets works with. */
 export interface FollowTargetsOptions {
   readonly source: KeyedSource<Target>
-  readonly view: TargetView
+  readonly targetList: TargetList
   /** Milliseconds between two readings. */
-  readonly pauseMs: number
+  readonly pollIntervalMs: number
   /** Last time at which no peer could read the list either, in milliseconds. */
-  readonly unreadAtMs: () => number
+  readonly lastFleetOutageAtMs: () => number
   /** Steady clock, in milliseconds. */
   readonly now: () => number
   /** Whether a peer reads the list for this router. */
-  readonly isCovered: () => boolean
+  readonly hasFreshReader: () => boolean
   /** Called when a target came, left or announced that it leaves. */
   readonly onChange: () => void
   readonly log: DecisionLog
@@ -31,24 +31,24 @@
 /** Keeps a view of targets in step with their list. */
 export interface TargetsFollower {
   /** Milliseconds since this router read the list; infinite before the first time. */
-  readMs(): number
+  lastPollAgeMs(): number
   /** Milliseconds up to which the view surely has all changes, from the list or from peers. */
   ageMs(): number
   /** Whether the view has come from the list or from a peer. */
-  isKnown(): boolean
+  isLoaded(): boolean
   /** Takes in the list that a peer had `ageMs` ago. */
-  borrow(targets: readonly Target[], ageMs: number): void
+  applyPeerList(targets: readonly Target[], ageMs: number): void
   /** Notes that a peer had the same list `ageMs` ago. */
   confirm(ageMs: number): void
   /** Trusts nothing that was known until the list is read again. */
-  doubt(): void
+  invalidate(): void
   stop(): void
 }
 
 /** Starts to follow the list of targets. */
 export function followTargets(options: FollowTargetsOptions): TargetsFollower {
-  const { source, view, now, log } = options
-  const lines = createSourceLines(log, 'targets')
+  const { source, targetList: view, now, log } = options
+  const lines = createSourceLogger(log, 'targets')
   let isKnown = false
   let confirmedAtMs = -Infinity
   let mustRead = false
@@ -58,7 +58,7 @@
   function put(target: Target): void {
     const known = view.find(target.id)
     gone.delete(target.id)
-    view.put(target)
+    view.set(target)
     const { id, service, draining } = target
     if (known?.draining === draining) return
     options.onChange()
@@ -102,8 +102,8 @@
 
   const follower = createSourceFollower({
     source,
-    pauseMs: options.pauseMs,
-    isCovered: () => !mustRead && options.isCovered(),
+    pollIntervalMs: options.pollIntervalMs,
+    hasFreshReader: () => !mustRead && options.hasFreshReader(),
     onRead: () => {
       mustRead = false
     },
@@ -113,26 +113,26 @@
       if (value) put(value)
       else remove(key)
     },
-    onLost: lines.lost,
-    onRegained: (lostMs) => {
-      lines.regained(lostMs)
+    onUnavailable: lines.logUnavailable,
+    onRecovered: (lostMs) => {
+      lines.logRecovered(lostMs)
       // Entries are back by now where peers have read for as long as that.
-      const spanMs = Math.min(lostMs, REJOIN_MS)
-      const isShared = options.unreadAtMs() > now() - spanMs
-      if (lostMs > SHORT_OUTAGE_MS && isShared) view.regained(now())
+      const spanMs = Math.min(lostMs, REJOIN_WINDOW_MS)
+      const isShared = options.lastFleetOutageAtMs() > now() - spanMs
+      if (lostMs > SHORT_OUTAGE_MS && isShared) view.startRejoinWindow(now())
     },
   })
 
   return {
-    readMs: () => (mustRead ? Infinity : follower.ageMs()),
+    lastPollAgeMs: () => (mustRead ? Infinity : follower.lastPollAgeMs()),
     ageMs() {
       if (mustRead) return Infinity
-      return Math.min(follower.ageMs(), now() - confirmedAtMs)
+      return Math.min(follower.lastPollAgeMs(), now() - confirmedAtMs)
     },
-    isKnown: () => isKnown,
+    isLoaded: () => isKnown,
     confirm,
-    borrow,
-    doubt() {
+    applyPeerList: borrow,
+    invalidate() {
       mustRead = true
       confirmedAtMs = -Infinity
     },
--- a/packages/router/src/node/targets/answerHead.ts
+++ b/packages/router/src/node/targets/responseHead.ts
@@ -1,5 +1,5 @@
 /** What the head of a target's answer says. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number
   /** Whether it answers the request that was sent on its connection. */
   readonly isForRequest: boolean
--- a/packages/router/src/node/targets/targetProtocol.ts
+++ b/packages/router/src/node/targets/targetProtocol.ts
@@ -1,9 +1,9 @@
 import type { IncomingMessage } from 'node:http'
-import type { AnswerHead } from './answerHead.js'
+import type { ResponseHead } from './responseHead.js'
 import type { Target } from './target.js'
 
 /** What a router adds to a request for one target. */
-export interface TargetOrders {
+export interface TargetRequestOptions {
   readonly bodyBytes: number
   /** Milliseconds that are left for the answer. */
   readonly remainingMs: number
@@ -20,8 +20,11 @@
 /** How requests to targets and their answers are written. */
 export interface TargetProtocol {
   /** Returns names and values, alternating, for the request of a caller. */
-  requestHeaders(rawHeaders: readonly string[], orders: TargetOrders): string[]
-  decodeHead(res: IncomingMessage, attemptId: string): AnswerHead
+  requestHeaders(
+    rawHeaders: readonly string[],
+    orders: TargetRequestOptions,
+  ): string[]
+  decodeHead(res: IncomingMessage, attemptId: string): ResponseHead
   /** Returns names and values, alternating, that the caller gets. */
-  answerHeaders(rawHeaders: readonly string[]): string[]
+  responseHeaders(rawHeaders: readonly string[]): string[]
 }
