--- a/packages/core/src/node/routing/__tests__/views.test.ts
+++ b/packages/core/src/node/routing/__tests__/createFlapDamper.test.ts
@@ -1,30 +1,9 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { createFlapDamper } from '../createFlapDamper.js'
-import { createTargetListGuard } from '../createTargetListGuard.js'
 
-describe('the view guard', () => {
-  it('keeps the last view when more than half vanishes, for a while', () => {
-    const guard = createTargetListGuard({
-      maxVanished: 0.5,
-      believeAfterMs: 1_000,
-    })
-    const all = ['a', 'b', 'c', 'd']
-    assert.deepEqual(guard.accept(all, 0), all)
-    assert.deepEqual(guard.accept(['a'], 1), all)
-    assert.deepEqual(guard.accept(['a'], 1_000), all)
-    assert.deepEqual(guard.accept(['a'], 1_001), ['a'])
-  })
-
-  it('believes a list that misses half or less', () => {
-    const guard = createTargetListGuard({ maxVanished: 0.5 })
-    guard.accept(['a', 'b', 'c', 'd'], 0)
-    assert.deepEqual(guard.accept(['a', 'b'], 1), ['a', 'b'])
-  })
-})
-
-describe('the flap damper', () => {
-  it('lets a first return in at once and doubles the hold-down after', () => {
+describe('createFlapDamper', () => {
+  it('does not hold down the first return and doubles the time after', () => {
     const damper = createFlapDamper({ baseMs: 100 })
     assert.ok(damper.update('t', true, 0))
     assert.ok(!damper.update('t', false, 10))
@@ -39,7 +18,7 @@
     assert.ok(damper.update('t', true, 360))
   })
 
-  it('forgets leaves after good conduct', () => {
+  it('forgets leaves after a long time without one', () => {
     const damper = createFlapDamper({ baseMs: 100, forgetMs: 1_000 })
     damper.update('t', true, 0)
     damper.update('t', false, 10)
--- a/packages/core/src/node/routing/__tests__/grants.test.ts
+++ b/packages/core/src/node/routing/__tests__/grants.test.ts
@@ -20,11 +20,11 @@
   return group
 }
 
-function holderOf(group: ReturnType<typeof groupOf>, router: string) {
+function creditPoolOf(group: ReturnType<typeof groupOf>, router: string) {
   return createCreditPool({ group, router, incarnation: router })
 }
 
-const ledgerView = (nowMs: number) => ({
+const contextAt = (nowMs: number) => ({
   nowMs,
   maxLoadFactor: FACTOR,
   eligible: () => true,
@@ -38,74 +38,78 @@
     'place',
     'place',
     'finish',
-    'lose reply',
-    'return',
+    'lose response',
+    'report',
   ),
   key: fc.string(),
   target: fc.nat(),
 })
 
-function openHome(
+function startCoordinator(
   group: ReturnType<typeof groupOf>,
-  holders: ReturnType<typeof holderOf>[],
+  pools: ReturnType<typeof creditPoolOf>[],
 ) {
-  const home = createGroupCoordinator({ group, router: 'r1' })
-  const epoch = Math.max(...holders.map((holder) => holder.epoch))
-  for (const { to, request: ask } of home.update({
+  const coordinator = createGroupCoordinator({ group, router: 'r1' })
+  const epoch = Math.max(...pools.map((pool) => pool.epoch))
+  for (const { to, request } of coordinator.update({
     coordinator: 'r1',
     routers,
     epoch,
     nowMs: 0,
   })) {
-    const holder = holders[routers.indexOf(to)]
-    if (holder) home.applyCollectResponse(holder.handleCollectRequest(ask), 0)
+    const pool = pools[routers.indexOf(to)]
+    if (pool)
+      coordinator.applyCollectResponse(pool.handleCollectRequest(request), 0)
   }
-  return home
+  return coordinator
 }
 
-describe('grants', () => {
-  it('never exceed the bound by the true counts, also when replies are lost', () => {
+describe('grants of a coordinator', () => {
+  it('stay within the bound by the actual counts, even if responses are lost', () => {
     const property = fc.property(
       fc.integer({ min: 2, max: 13 }),
       fc.array(stepArbitrary, { maxLength: 120 }),
       (size, steps) => {
         const group = groupOf(size)
-        const holders = routers.map((router) => holderOf(group, router))
-        const home = openHome(group, holders)
-        assert.ok(home.granting)
+        const pools = routers.map((router) => creditPoolOf(group, router))
+        const coordinator = startCoordinator(group, pools)
+        assert.ok(coordinator.granting)
         const loads = () =>
           group.members.map((_, index) =>
-            holders.reduce(
-              (sum, { inFlight: used }) => sum + (used[index] ?? 0),
+            pools.reduce(
+              (sum, { inFlight }) => sum + (inFlight[index] ?? 0),
               0,
             ),
           )
         let nowMs = 1
         for (const { router, action, key, target } of steps) {
           nowMs += 1
-          const holder = holders[router]
-          assert.ok(holder)
+          const pool = pools[router]
+          assert.ok(pool)
           const index = target % size
           if (action === 'finish') {
-            if ((holder.inFlight[index] ?? 0) > 0) holder.removeInFlight(index)
-            // The home hears of the end before anything else happens.
-            const ask = holder.createGrantRequest([], nowMs)
-            holder.applyGrantResponse(
-              ask.sequence,
-              home.handleGrantRequest(ask, ledgerView(nowMs)),
+            if ((pool.inFlight[index] ?? 0) > 0) pool.removeInFlight(index)
+            // The end is reported before the next step.
+            const request = pool.createGrantRequest([], nowMs)
+            pool.applyGrantResponse(
+              request.sequence,
+              coordinator.handleGrantRequest(request, contextAt(nowMs)),
             )
             continue
           }
-          const wants = action === 'return' ? [] : [{ key, exclude: [] }]
-          const ask = holder.createGrantRequest(wants, nowMs)
-          const reply = home.handleGrantRequest(ask, ledgerView(nowMs))
-          assert.equal(reply.status, GrantStatus.Granted)
-          if (action === 'lose reply') {
-            holder.abandonRequest()
+          const wants = action === 'report' ? [] : [{ key, exclude: [] }]
+          const request = pool.createGrantRequest(wants, nowMs)
+          const response = coordinator.handleGrantRequest(
+            request,
+            contextAt(nowMs),
+          )
+          assert.equal(response.status, GrantStatus.Granted)
+          if (action === 'lose response') {
+            pool.abandonRequest()
             continue
           }
           const [granted = -1] =
-            holder.applyGrantResponse(ask.sequence, reply) ?? []
+            pool.applyGrantResponse(request.sequence, response) ?? []
           if (granted < 0) continue
           const after = loads()
           const total = after.reduce((sum, load) => sum + load, 0)
@@ -117,54 +121,54 @@
     fc.assert(property, { seed: 21, numRuns: 200 })
   })
 
-  it('of an old home are void once a new home has collected', () => {
+  it('are void once a newer coordinator has collected the counts', () => {
     const group = groupOf(4)
-    const holders = routers.map((router) => holderOf(group, router))
-    const [holder] = holders
-    assert.ok(holder)
-    const old = openHome(group, holders)
-    const late = holder.createGrantRequest([{ key: 'chat', exclude: [] }], 1)
-    const reply = old.handleGrantRequest(late, ledgerView(1))
-    const next = openHome(group, holders)
+    const pools = routers.map((router) => creditPoolOf(group, router))
+    const [pool] = pools
+    assert.ok(pool)
+    const old = startCoordinator(group, pools)
+    const late = pool.createGrantRequest([{ key: 'chat', exclude: [] }], 1)
+    const response = old.handleGrantRequest(late, contextAt(1))
+    const next = startCoordinator(group, pools)
     assert.ok(next.granting)
-    assert.equal(holder.applyGrantResponse(late.sequence, reply), undefined)
-    const again = holder.createGrantRequest([{ key: 'chat', exclude: [] }], 2)
+    assert.equal(pool.applyGrantResponse(late.sequence, response), undefined)
+    const again = pool.createGrantRequest([{ key: 'chat', exclude: [] }], 2)
     assert.equal(
-      old.handleGrantRequest(again, ledgerView(2)).status,
+      old.handleGrantRequest(again, contextAt(2)).status,
       GrantStatus.NotCoordinator,
     )
     assert.equal(
-      next.handleGrantRequest(again, ledgerView(2)).status,
+      next.handleGrantRequest(again, contextAt(2)).status,
       GrantStatus.Granted,
     )
-    assert.deepEqual(holder.inFlight, [0, 0, 0, 0])
+    assert.deepEqual(pool.inFlight, [0, 0, 0, 0])
   })
 
-  it('are refused while counts are missing, to differing views and to old messages', () => {
+  it('are refused while counts are missing, for other members and for old messages', () => {
     const group = groupOf(4)
-    const holder = holderOf(group, 'r2')
-    const home = createGroupCoordinator({ group, router: 'r1' })
-    home.update({ coordinator: 'r1', routers, epoch: 0, nowMs: 0 })
-    const first = holder.createGrantRequest([{ key: 'chat', exclude: [] }], 1)
+    const pool = creditPoolOf(group, 'r2')
+    const coordinator = createGroupCoordinator({ group, router: 'r1' })
+    coordinator.update({ coordinator: 'r1', routers, epoch: 0, nowMs: 0 })
+    const first = pool.createGrantRequest([{ key: 'chat', exclude: [] }], 1)
     assert.equal(
-      home.handleGrantRequest(first, ledgerView(1)).status,
+      coordinator.handleGrantRequest(first, contextAt(1)).status,
       GrantStatus.Collecting,
     )
     assert.equal(
-      home.handleGrantRequest(first, ledgerView(2)).status,
+      coordinator.handleGrantRequest(first, contextAt(2)).status,
       GrantStatus.Stale,
     )
-    const other = holderOf(groupOf(5), 'r3').createGrantRequest([], 1)
-    const differing = home.handleGrantRequest(
+    const other = creditPoolOf(groupOf(5), 'r3').createGrantRequest([], 1)
+    const differing = coordinator.handleGrantRequest(
       { ...other, group: group.id },
-      ledgerView(2),
+      contextAt(2),
     )
     assert.equal(differing.status, GrantStatus.ViewsDiffer)
   })
 })
 
-describe('shares', () => {
-  it('of all routers together stay within the bound', () => {
+describe('createFallbackQuota', () => {
+  it('assigns each free slot up to the bound to exactly one router', () => {
     const property = fc.property(
       fc.array(fc.nat(30), { minLength: 1, maxLength: 16 }),
       fc.integer({ min: 1, max: 12 }),
@@ -176,8 +180,8 @@
         )
         const loads = [...known]
         for (const id of ids) {
-          const shares = createFallbackQuota(group, id)
-          shares.refresh({
+          const quota = createFallbackQuota(group, id)
+          quota.refresh({
             routers: ids,
             knownLoads: known,
             ageMs: 0,
@@ -186,8 +190,8 @@
             eligible: () => true,
           })
           for (const index of loads.keys()) {
-            while (shares.hasQuota(index)) {
-              shares.consume(index)
+            while (quota.hasQuota(index)) {
+              quota.consume(index)
               loads[index] = (loads[index] ?? 0) + 1
             }
           }
@@ -196,7 +200,6 @@
         const bound = (FACTOR * total) / known.length + 1
         for (const [index, load] of loads.entries()) {
           const before = known[index] ?? 0
-          // Every free level up to the bound belongs to exactly one router.
           assert.equal(load, Math.max(before, Math.floor(bound)))
         }
       },
--- a/packages/core/src/node/routing/chooseTarget.ts
+++ b/packages/core/src/node/routing/chooseTarget.ts
@@ -1,6 +1,6 @@
 import { rendezvousOrder, type WeightedTarget } from './rendezvousOrder.js'
 
-/** A target with the load known of it. */
+/** A target with its known load. */
 export interface LoadedTarget extends WeightedTarget {
   /** Requests in flight. */
   readonly load: number
@@ -16,7 +16,10 @@
   return (maxLoadFactor * (total + 1)) / targets.length + 1
 }
 
-/** Chooses the first target in the key's order that stays within the bound. */
+/**
+ * Chooses the first target in the key's rendezvous order that stays within the
+ * load bound (consistent hashing with bounded loads).
+ */
 export function chooseTarget(
   key: string,
   targets: readonly LoadedTarget[],
--- a/packages/core/src/node/routing/constants.ts
+++ b/packages/core/src/node/routing/constants.ts
@@ -1,24 +1,24 @@
-/** Targets of one group, on average. */
-export const GROUP_TARGETS = 16
-/** Points of each target on the ring that leads chats to groups. */
-export const RING_POINTS = 16
-/** Load up to which credits are lent, as a multiple of the mean load. */
-export const LOAN_LOAD_FACTOR = 1
-/** Credits lent on one target to one router at most. */
-export const DEFAULT_LOAN_SIZE = 1
-/** Credits outstanding, as a share of the requests in flight. */
-export const LOAN_SHARE = 0.15
-/** Milliseconds that a lent credit may be used. */
-export const CREDIT_VALID_MS = 2_000
-/** Milliseconds within which the home hears of finished requests. */
-export const RETURN_MS = 1_000
-/** Fall of a router's requests in flight that the home hears of at once. */
-export const RETURN_AT_FALL = 2
-/** Standard deviations by which the load is taken lower than known. */
+/** Average number of targets in a group. */
+export const TARGETS_PER_GROUP = 16
+/** Points of each target on the hash ring that maps chats to groups. */
+export const RING_POINTS_PER_TARGET = 16
+/** Load up to which credits are granted in advance, as a multiple of the mean load. */
+export const CREDIT_LOAD_FACTOR = 1
+/** Maximum number of credits that one router holds on one target. */
+export const DEFAULT_CREDIT_BATCH_SIZE = 1
+/** Maximum share of the requests in flight that is outstanding as credits. */
+export const MAX_CREDIT_SHARE = 0.15
+/** Milliseconds for which a credit is valid. */
+export const CREDIT_TTL_MS = 2_000
+/** Milliseconds within which finished requests are reported to the coordinator. */
+export const REPORT_INTERVAL_MS = 1_000
+/** Decrease of a router's requests in flight that is reported at once. */
+export const REPORT_AT_DECREASE = 2
+/** Standard deviations by which the load estimate is lowered. */
 export const LOAD_MARGIN_DEVIATIONS = 1
-/** Requests by which the load is taken lower, for messages under way. */
+/** Requests by which the load estimate is lowered, for messages in transit. */
 export const LOAD_MARGIN_REQUESTS = 2
-/** Milliseconds that a home remembers held places to judge late reports. */
-export const REPORT_LAG_MS = 3_000
-/** Requests in flight up to which the home hears of each fall at once. */
-export const SMALL_LOAD = 4
+/** Milliseconds for which held slots are compared with delayed load reports. */
+export const LOAD_REPORT_LAG_MS = 3_000
+/** Requests in flight up to which every decrease is reported at once. */
+export const SMALL_LOAD_REQUESTS = 4
--- a/packages/core/src/node/routing/createCreditPool.ts
+++ b/packages/core/src/node/routing/createCreditPool.ts
@@ -1,8 +1,8 @@
 import {
-  CREDIT_VALID_MS,
-  RETURN_AT_FALL,
-  RETURN_MS,
-  SMALL_LOAD,
+  CREDIT_TTL_MS,
+  REPORT_AT_DECREASE,
+  REPORT_INTERVAL_MS,
+  SMALL_LOAD_REQUESTS,
 } from './constants.js'
 import type {
   CollectRequest,
@@ -14,60 +14,64 @@
 import { GrantStatus } from './grantStatus.js'
 import type { TargetGroup } from './targetGroup.js'
 
-/** What a holder works with. */
+/** Options for {@link createCreditPool}. */
 export interface CreditPoolOptions {
   readonly group: TargetGroup
   readonly router: string
   readonly incarnation: string
 }
 
-/** A router's own side of one group: what it uses and may use. */
+/** Requests in flight and credits of one router on the targets of a group. */
 export interface CreditPool {
+  /** Highest epoch that was accepted. */
   readonly epoch: number
   /** Requests in flight from this router, by target. */
   readonly inFlight: readonly number[]
-  /** Whether a credit on the target can be used now. */
+  /** Whether a valid credit on the target is available. */
   hasCredit(index: number, nowMs: number): boolean
-  /** Uses a credit; false when there is none. */
+  /** Consumes a credit; returns false if none is available. */
   consumeCredit(index: number, nowMs: number): boolean
-  /** Counts a place that was taken without the home. */
+  /** Counts a request that started without the coordinator. */
   addInFlight(index: number): void
   /** Counts a request that ended. */
   removeInFlight(index: number): void
-  /** Whether the home should hear of the changes although nobody waits. */
-  isReportDue(nowMs: number, isHome: boolean): boolean
+  /** Whether to report to the coordinator although no request waits. */
+  isReportDue(nowMs: number, isCoordinator: boolean): boolean
   createGrantRequest(
     wants: readonly PlacementRequest[],
     nowMs: number,
   ): GrantRequest
-  /** Takes in the answer to the last message; undefined when it is too late. */
+  /**
+   * Applies the response to the last request; returns the granted targets, or
+   * undefined if nothing was granted or the response arrived too late.
+   */
   applyGrantResponse(
     sequence: number,
-    reply: GrantResponse,
+    response: GrantResponse,
   ): readonly number[] | undefined
-  /** Gives up waiting for the answer to the last message. */
+  /** Stops waiting for the response to the last request. */
   abandonRequest(): void
-  handleCollectRequest(ask: CollectRequest): CollectResponse
+  handleCollectRequest(request: CollectRequest): CollectResponse
 }
 
-/** Creates the router's side of a group. */
+/** Creates a pool without requests or credits. */
 export function createCreditPool(options: CreditPoolOptions): CreditPool {
   const { group, router, incarnation } = options
   const size = group.members.length
-  const used = new Array<number>(size).fill(0)
+  const inFlight = new Array<number>(size).fill(0)
   const credits = new Array<number>(size).fill(0)
   const creditsUntilMs = new Array<number>(size).fill(0)
   let epoch = 0
   let sequence = 0
   let finished = 0
-  // The home first hears of this router before it has anything in flight.
+  // The first report is sent before any request is in flight.
   let changed = true
   let total = 0
-  let toldTotal = 0
+  let reportedTotal = 0
   let pending: { readonly sequence: number; readonly atMs: number } | undefined
-  let lastAskMs = -Infinity
+  let lastRequestAtMs = -Infinity
 
-  function adopt(newer: number): void {
+  function acceptEpoch(newer: number): void {
     if (newer <= epoch) return
     epoch = newer
     credits.fill(0)
@@ -82,17 +86,17 @@
     }
   }
 
-  function addUsed(index: number, change: number): void {
-    used[index] = (used[index] ?? 0) + change
+  function changeInFlight(index: number, change: number): void {
+    inFlight[index] = (inFlight[index] ?? 0) + change
     total += change
     changed = true
   }
 
-  function addLoans(reply: GrantResponse, askedAtMs: number): void {
-    for (const [index, lent] of reply.loans.entries()) {
-      if (lent <= 0) continue
-      credits[index] = (credits[index] ?? 0) + lent
-      creditsUntilMs[index] = askedAtMs + CREDIT_VALID_MS
+  function addCredits(response: GrantResponse, requestedAtMs: number): void {
+    for (const [index, count] of response.loans.entries()) {
+      if (count <= 0) continue
+      credits[index] = (credits[index] ?? 0) + count
+      creditsUntilMs[index] = requestedAtMs + CREDIT_TTL_MS
     }
   }
 
@@ -101,7 +105,7 @@
   }
 
   return {
-    inFlight: used,
+    inFlight,
     get epoch() {
       return epoch
     },
@@ -109,32 +113,33 @@
     consumeCredit(index, nowMs) {
       if (!hasCredit(index, nowMs)) return false
       credits[index] = (credits[index] ?? 0) - 1
-      addUsed(index, 1)
+      changeInFlight(index, 1)
       return true
     },
     addInFlight: (index) => {
-      addUsed(index, 1)
+      changeInFlight(index, 1)
     },
     removeInFlight: (index) => {
-      addUsed(index, -1)
+      changeInFlight(index, -1)
       finished += 1
     },
-    isReportDue(nowMs, isHome) {
+    isReportDue(nowMs, isCoordinator) {
       expireCredits(nowMs)
-      if (isHome) return changed
-      const fall = toldTotal <= SMALL_LOAD ? 1 : RETURN_AT_FALL
-      if (toldTotal - total >= fall) return true
-      return changed && nowMs - lastAskMs >= RETURN_MS
+      if (isCoordinator) return changed
+      const decrease =
+        reportedTotal <= SMALL_LOAD_REQUESTS ? 1 : REPORT_AT_DECREASE
+      if (reportedTotal - total >= decrease) return true
+      return changed && nowMs - lastRequestAtMs >= REPORT_INTERVAL_MS
     },
     createGrantRequest(wants, nowMs) {
       expireCredits(nowMs)
       sequence += 1
       pending = { sequence, atMs: nowMs }
-      lastAskMs = nowMs
+      lastRequestAtMs = nowMs
       const ended = finished
       finished = 0
       changed = false
-      toldTotal = total
+      reportedTotal = total
       return {
         group: group.id,
         membersHash: group.membersHash,
@@ -142,44 +147,44 @@
         incarnation,
         sequence,
         epoch,
-        used: [...used],
+        used: [...inFlight],
         credits: [...credits],
         finished: ended,
         wants,
       }
     },
-    applyGrantResponse(answered, reply) {
-      if (pending?.sequence !== answered) return undefined
+    applyGrantResponse(responseSequence, response) {
+      if (pending?.sequence !== responseSequence) return undefined
       const { atMs } = pending
       pending = undefined
-      if (reply.epoch < epoch) return undefined
-      adopt(reply.epoch)
-      if (reply.status !== GrantStatus.Granted) {
+      if (response.epoch < epoch) return undefined
+      acceptEpoch(response.epoch)
+      if (response.status !== GrantStatus.Granted) {
         changed = true
         return undefined
       }
       const changedBefore = changed
-      for (const index of reply.granted) {
+      for (const index of response.granted) {
         if (index < 0) continue
-        addUsed(index, 1)
-        toldTotal += 1
+        changeInFlight(index, 1)
+        reportedTotal += 1
       }
       changed = changedBefore
-      addLoans(reply, atMs)
-      return reply.granted
+      addCredits(response, atMs)
+      return response.granted
     },
     abandonRequest() {
       pending = undefined
       changed = true
     },
-    handleCollectRequest(ask) {
+    handleCollectRequest(request) {
       const accepted =
-        ask.membersHash === group.membersHash && ask.epoch >= epoch
-      if (accepted && ask.epoch > epoch) {
-        adopt(ask.epoch)
+        request.membersHash === group.membersHash && request.epoch >= epoch
+      if (accepted && request.epoch > epoch) {
+        acceptEpoch(request.epoch)
         pending = undefined
       }
-      return { accepted, epoch, router, incarnation, used: [...used] }
+      return { accepted, epoch, router, incarnation, used: [...inFlight] }
     },
   }
 }
--- a/packages/core/src/node/routing/createFlapDamper.ts
+++ b/packages/core/src/node/routing/createFlapDamper.ts
@@ -1,20 +1,23 @@
-/** Keeps targets out for a while that leave and return again and again. */
+/** Holds down targets that leave and return repeatedly. */
 export interface FlapDamper {
-  /** Notes whether a target is listed now; returns whether to use it. */
+  /** Records whether a target is listed; returns whether it may be used. */
   update(targetId: string, listed: boolean, nowMs: number): boolean
 }
 
-/** What a flap damper works with. */
+/** Options for {@link createFlapDamper}. */
 export interface FlapDamperOptions {
   /** Hold-down after the second leave, in milliseconds. @default 1000 */
   readonly baseMs?: number
-  /** @default 60000 */
+  /** Longest hold-down, in milliseconds. @default 60000 */
   readonly maxMs?: number
-  /** Milliseconds of good conduct after which a leave is forgotten. @default 300000 */
+  /**
+   * Milliseconds without a leave after which earlier leaves are forgotten.
+   * @default 300000
+   */
   readonly forgetMs?: number
 }
 
-interface Conduct {
+interface TargetHistory {
   listed: boolean
   leaves: number
   leftAtMs: number
@@ -24,33 +27,37 @@
 /** Creates a damper whose hold-down doubles with each leave. */
 export function createFlapDamper(options: FlapDamperOptions = {}): FlapDamper {
   const { baseMs = 1_000, maxMs = 60_000, forgetMs = 300_000 } = options
-  const conducts = new Map<string, Conduct>()
+  const histories = new Map<string, TargetHistory>()
 
-  function holdDown(leaves: number): number {
+  function holdDownMs(leaves: number): number {
     return leaves < 2 ? 0 : Math.min(maxMs, baseMs * 2 ** (leaves - 2))
   }
 
-  function change(conduct: Conduct, listed: boolean, nowMs: number): void {
-    if (conduct.listed === listed) return
-    conduct.listed = listed
+  function setListed(
+    history: TargetHistory,
+    listed: boolean,
+    nowMs: number,
+  ): void {
+    if (history.listed === listed) return
+    history.listed = listed
     if (listed) {
-      conduct.heldUntilMs = nowMs + holdDown(conduct.leaves)
+      history.heldUntilMs = nowMs + holdDownMs(history.leaves)
       return
     }
-    if (nowMs - conduct.leftAtMs >= forgetMs) conduct.leaves = 0
-    conduct.leaves += 1
-    conduct.leftAtMs = nowMs
+    if (nowMs - history.leftAtMs >= forgetMs) history.leaves = 0
+    history.leaves += 1
+    history.leftAtMs = nowMs
   }
 
   return {
     update(targetId, listed, nowMs) {
-      const known = conducts.get(targetId)
+      const known = histories.get(targetId)
       if (known) {
-        change(known, listed, nowMs)
+        setListed(known, listed, nowMs)
         return listed && nowMs >= known.heldUntilMs
       }
       if (listed)
-        conducts.set(targetId, {
+        histories.set(targetId, {
           listed,
           leaves: 0,
           leftAtMs: -Infinity,
--- a/packages/core/src/node/routing/createGrantLedger.ts
+++ b/packages/core/src/node/routing/createGrantLedger.ts
@@ -1,6 +1,10 @@
-import { DEFAULT_LOAN_SIZE, LOAN_LOAD_FACTOR, LOAN_SHARE } from './constants.js'
-import { createAccountBook } from './createAccountBook.js'
-import { createReportWindow } from './createReportWindow.js'
+import {
+  CREDIT_LOAD_FACTOR,
+  DEFAULT_CREDIT_BATCH_SIZE,
+  MAX_CREDIT_SHARE,
+} from './constants.js'
+import { createPeakLoadWindow } from './createPeakLoadWindow.js'
+import { createRouterUsageTable } from './createRouterUsageTable.js'
 import type {
   CollectResponse,
   GrantRequest,
@@ -12,214 +16,233 @@
 import { rendezvousOrder } from './rendezvousOrder.js'
 import type { TargetGroup } from './targetGroup.js'
 
-/** What a ledger works with. */
+/** Options for {@link createGrantLedger}. */
 export interface GrantLedgerOptions {
   readonly group: TargetGroup
-  /** Greater than every epoch the home has heard of. */
+  /** Must be greater than every epoch known to the coordinator. */
   readonly epoch: number
-  /** Credits lent on one target to one router. @default DEFAULT_LOAN_SIZE */
-  readonly loanSize?: number
+  /**
+   * Maximum number of credits that one router holds on one target.
+   * @default DEFAULT_CREDIT_BATCH_SIZE
+   */
+  readonly creditBatchSize?: number
 }
 
-/** Load and bound of one target as the home counts them. */
+/** Load and load bound of one target in the ledger. */
 export interface LedgerStatus {
+  /** Slots held by all routers, and load that no router reported. */
   readonly held: number
   readonly bound: number
 }
 
-/** The home's account of one group: who holds which places. */
+/** The coordinator's record of the slots that each router holds in a group. */
 export interface GrantLedger {
   readonly epoch: number
-  /** Routers whose counts must come in before places are granted. */
-  readonly missing: Set<string>
-  collected(reply: CollectResponse, nowMs: number): void
-  ask(ask: GrantRequest, view: LedgerContext): GrantResponse
-  /** Drops what a router held that is gone. */
-  forget(router: string, nowMs: number): void
-  /** Routers that were not heard of since a time. */
-  silentRouters(sinceMs: number): string[]
-  knows(router: string): boolean
-  status(view: LedgerContext): LedgerStatus[]
+  /** Routers whose usage is required before slots are granted. */
+  readonly missingRouters: Set<string>
+  applyCollectResponse(response: CollectResponse, nowMs: number): void
+  handleGrantRequest(
+    request: GrantRequest,
+    context: LedgerContext,
+  ): GrantResponse
+  /** Removes a departed router and its slots. */
+  removeRouter(router: string, nowMs: number): void
+  /** Returns the routers whose last message is older than `sinceMs`. */
+  findStaleRouters(sinceMs: number): string[]
+  hasRouter(router: string): boolean
+  status(context: LedgerContext): LedgerStatus[]
 }
 
-/** Creates the account of a home's group. */
+/** Creates the ledger of a group for one epoch. */
 export function createGrantLedger(options: GrantLedgerOptions): GrantLedger {
   const { group, epoch } = options
   const size = group.members.length
-  const loanSize = options.loanSize ?? DEFAULT_LOAN_SIZE
+  const creditBatchSize = options.creditBatchSize ?? DEFAULT_CREDIT_BATCH_SIZE
   const members = group.members.map(({ id, weight }, index) => ({
     id,
     weight,
     index,
   }))
-  const missing = new Set<string>()
-  const book = createAccountBook(size)
-  const reports = createReportWindow(size)
+  const missingRouters = new Set<string>()
+  const usageTable = createRouterUsageTable(size)
+  const peakLoads = createPeakLoadWindow(size)
 
   const zeros = (): number[] => new Array<number>(size).fill(0)
 
-  function heldBy(view: LedgerContext): number[] {
-    const held = members.map(({ index }) => book.held(index))
-    reports.note(held, view.nowMs)
+  function loadsOf(context: LedgerContext): number[] {
+    const held = members.map(({ index }) => usageTable.heldSlots(index))
+    peakLoads.record(held, context.nowMs)
     return held.map(
-      (load, index) => load + reports.unaccounted(index, view.reported(index)),
+      (load, index) =>
+        load + peakLoads.unaccountedLoad(index, context.reported(index)),
     )
   }
 
-  function weightOf(view: LedgerContext): number {
+  function eligibleWeight(context: LedgerContext): number {
     let total = 0
     for (const { index, weight } of members)
-      if (view.eligible(index)) total += weight
+      if (context.eligible(index)) total += weight
     return total
   }
 
-  function meanLoad(view: LedgerContext, starting: number): number {
-    const total = book.lowerLoad((index) => view.eligible(index), view.nowMs)
-    const mean = (total + starting) / Math.max(weightOf(view), Number.EPSILON)
-    return Math.min(mean, view.serviceMean ?? mean)
+  function meanLoad(context: LedgerContext, starting: number): number {
+    const isEligible = (index: number): boolean => context.eligible(index)
+    const total = usageTable.estimateMinLoad(isEligible, context.nowMs)
+    const weight = Math.max(eligibleWeight(context), Number.EPSILON)
+    const mean = (total + starting) / weight
+    return Math.min(mean, context.serviceMean ?? mean)
   }
 
-  function orderOf(want: PlacementRequest): typeof members {
-    const order = rendezvousOrder(want.key, members)
-    const hinted = want.hint === undefined ? undefined : members[want.hint]
+  function preferenceOrder(placement: PlacementRequest): typeof members {
+    const { key, hint } = placement
+    const order = rendezvousOrder(key, members)
+    const hinted = hint === undefined ? undefined : members[hint]
     return hinted ? [hinted, ...order] : order
   }
 
-  function choose(
-    want: PlacementRequest,
-    held: readonly number[],
-    view: LedgerContext,
+  function selectTarget(
+    placement: PlacementRequest,
+    loads: readonly number[],
+    context: LedgerContext,
   ): number {
-    const limit = view.maxLoadFactor * meanLoad(view, 1)
-    for (const { index, weight } of orderOf(want)) {
-      if (!view.eligible(index) || want.exclude.includes(index)) continue
-      if ((held[index] ?? 0) <= limit * weight) return index
+    const limit = context.maxLoadFactor * meanLoad(context, 1)
+    for (const { index, weight } of preferenceOrder(placement)) {
+      if (!context.eligible(index) || placement.exclude.includes(index))
+        continue
+      if ((loads[index] ?? 0) <= limit * weight) return index
     }
-    return leastHeld(want, held, view)
+    return selectLeastLoaded(placement, loads, context)
   }
 
-  // The lower estimate is too low for a few requests on a few targets; then the
-  // least loaded target is within the bound by the counts as they stand.
-  function leastHeld(
-    want: PlacementRequest,
-    held: readonly number[],
-    view: LedgerContext,
+  // With few requests on few targets the mean of the low estimate admits no
+  // target. The mean of the actual counts admits the least loaded one.
+  function selectLeastLoaded(
+    placement: PlacementRequest,
+    loads: readonly number[],
+    context: LedgerContext,
   ): number {
-    let least = -1
+    let leastLoaded = -1
     let lowest = Infinity
     let total = 1
     for (const { index, weight } of members) {
-      if (!view.eligible(index)) continue
-      const load = held[index] ?? 0
+      if (!context.eligible(index)) continue
+      const load = loads[index] ?? 0
       total += load
-      if (want.exclude.includes(index) || load / weight >= lowest) continue
-      least = index
+      if (placement.exclude.includes(index) || load / weight >= lowest) continue
+      leastLoaded = index
       lowest = load / weight
     }
-    const mean = total / Math.max(weightOf(view), Number.EPSILON)
-    return lowest <= view.maxLoadFactor * mean ? least : -1
+    const mean = total / Math.max(eligibleWeight(context), Number.EPSILON)
+    return lowest <= context.maxLoadFactor * mean ? leastLoaded : -1
   }
 
-  function grant(ask: GrantRequest, view: LedgerContext): number[] {
-    const held = heldBy(view)
+  function grantSlots(request: GrantRequest, context: LedgerContext): number[] {
+    const loads = loadsOf(context)
     const granted: number[] = []
-    for (const want of ask.wants) {
-      const index = choose(want, held, view)
+    for (const placement of request.wants) {
+      const index = selectTarget(placement, loads, context)
       granted.push(index)
       if (index < 0) continue
-      held[index] = (held[index] ?? 0) + 1
-      book.use(ask.router, index)
+      loads[index] = (loads[index] ?? 0) + 1
+      usageTable.addInFlight(request.router, index)
     }
     return granted
   }
 
-  function lend(router: string, view: LedgerContext): number[] {
-    const loans = zeros()
-    const held = heldBy(view)
-    const mean = meanLoad(view, 0)
-    const credits = book.get(router)?.credits ?? []
-    let left = Math.floor(mean * weightOf(view) * LOAN_SHARE) - book.outstanding
-    const leastFirst = [...members].sort(
+  function grantCredits(router: string, context: LedgerContext): number[] {
+    const granted = zeros()
+    const loads = loadsOf(context)
+    const mean = meanLoad(context, 0)
+    const credits = usageTable.get(router)?.credits ?? []
+    let available =
+      Math.floor(mean * eligibleWeight(context) * MAX_CREDIT_SHARE) -
+      usageTable.outstandingCredits
+    const leastLoadedFirst = [...members].sort(
       (a, b) =>
-        (held[a.index] ?? 0) / a.weight - (held[b.index] ?? 0) / b.weight,
+        (loads[a.index] ?? 0) / a.weight - (loads[b.index] ?? 0) / b.weight,
     )
-    for (const { index, weight } of leastFirst) {
-      if (left <= 0) break
-      const room = Math.floor(
-        LOAN_LOAD_FACTOR * mean * weight - (held[index] ?? 0),
+    for (const { index, weight } of leastLoadedFirst) {
+      if (available <= 0) break
+      const headroom = Math.floor(
+        CREDIT_LOAD_FACTOR * mean * weight - (loads[index] ?? 0),
       )
-      const lent = Math.min(room, loanSize - (credits[index] ?? 0), left)
-      if (lent <= 0 || !view.eligible(index)) continue
-      loans[index] = lent
-      book.lend(router, index, lent)
-      left -= lent
+      const unfilled = creditBatchSize - (credits[index] ?? 0)
+      const count = Math.min(headroom, unfilled, available)
+      if (count <= 0 || !context.eligible(index)) continue
+      granted[index] = count
+      usageTable.grantCredits(router, index, count)
+      available -= count
     }
-    return loans
+    return granted
   }
 
-  function refuse(status: GrantStatus, ask: GrantRequest): GrantResponse {
-    const granted = ask.wants.map(() => -1)
+  function refuse(status: GrantStatus, request: GrantRequest): GrantResponse {
+    const granted = request.wants.map(() => -1)
     return { status, epoch, granted, loans: [] }
   }
 
-  function account(ask: GrantRequest, nowMs: number): boolean {
-    const { router, incarnation, sequence, used, finished } = ask
-    const known = book.get(router)
+  /** Returns false for a message that arrived out of order. */
+  function recordUsage(request: GrantRequest, nowMs: number): boolean {
+    const { router, incarnation, sequence, used, finished } = request
+    const known = usageTable.get(router)
     if (known?.incarnation === incarnation && sequence <= known.sequence)
       return false
-    const credits = ask.epoch === epoch ? [...ask.credits] : zeros()
-    const entry = {
+    const credits = request.epoch === epoch ? [...request.credits] : zeros()
+    const usage = {
       incarnation,
       sequence,
       atMs: nowMs,
-      used: [...used],
+      inFlight: [...used],
       credits,
     }
-    book.put(router, entry, finished)
-    missing.delete(router)
+    usageTable.replace(router, usage, finished)
+    missingRouters.delete(router)
     return true
   }
 
   return {
     epoch,
-    missing,
-    collected(reply, nowMs) {
-      const { router, incarnation, used } = reply
-      missing.delete(router)
-      if (book.get(router)?.incarnation === incarnation) return
-      const entry = {
+    missingRouters,
+    applyCollectResponse(response, nowMs) {
+      const { router, incarnation, used } = response
+      missingRouters.delete(router)
+      if (usageTable.get(router)?.incarnation === incarnation) return
+      const usage = {
         incarnation,
         sequence: 0,
         atMs: nowMs,
-        used: [...used],
+        inFlight: [...used],
         credits: zeros(),
       }
-      book.put(router, entry, 0)
+      usageTable.replace(router, usage, 0)
     },
-    ask(ask, view) {
-      if (ask.membersHash !== group.membersHash)
-        return refuse(GrantStatus.ViewsDiffer, ask)
-      if (ask.epoch > epoch) return refuse(GrantStatus.Stale, ask)
-      if (!account(ask, view.nowMs)) return refuse(GrantStatus.Stale, ask)
-      // A router that obeys an older epoch may just use that epoch's credits.
-      if (missing.size > 0 || ask.epoch < epoch)
-        return refuse(GrantStatus.Collecting, ask)
-      const granted = grant(ask, view)
-      const loans = lend(ask.router, view)
+    handleGrantRequest(request, context) {
+      if (request.membersHash !== group.membersHash)
+        return refuse(GrantStatus.ViewsDiffer, request)
+      if (request.epoch > epoch) return refuse(GrantStatus.Stale, request)
+      if (!recordUsage(request, context.nowMs))
+        return refuse(GrantStatus.Stale, request)
+      // A router on an older epoch may still be using credits of that epoch.
+      if (missingRouters.size > 0 || request.epoch < epoch)
+        return refuse(GrantStatus.Collecting, request)
+      const granted = grantSlots(request, context)
+      const loans = grantCredits(request.router, context)
       return { status: GrantStatus.Granted, epoch, granted, loans }
     },
-    forget(router, nowMs) {
-      book.remove(router, nowMs)
-      missing.delete(router)
+    removeRouter(router, nowMs) {
+      usageTable.remove(router, nowMs)
+      missingRouters.delete(router)
     },
-    silentRouters: (sinceMs) =>
-      book.routers().filter((id) => (book.get(id)?.atMs ?? 0) < sinceMs),
-    knows: (router) => book.get(router) !== undefined,
-    status(view) {
-      const bound = view.maxLoadFactor * meanLoad(view, 1)
-      const held = heldBy(view)
+    findStaleRouters: (sinceMs) =>
+      usageTable
+        .routers()
+        .filter((id) => (usageTable.get(id)?.atMs ?? 0) < sinceMs),
+    hasRouter: (router) => usageTable.get(router) !== undefined,
+    status(context) {
+      const bound = context.maxLoadFactor * meanLoad(context, 1)
+      const loads = loadsOf(context)
       return members.map(({ index, weight }) => ({
-        held: held[index] ?? 0,
+        held: loads[index] ?? 0,
         bound: bound * weight + 1,
       }))
     },
--- a/packages/core/src/node/routing/createGroupCoordinator.ts
+++ b/packages/core/src/node/routing/createGroupCoordinator.ts
@@ -14,100 +14,115 @@
 import type { LedgerContext } from './ledgerContext.js'
 import type { TargetGroup } from './targetGroup.js'
 
-/** What a group's home works with. */
+/** Options for {@link createGroupCoordinator}. */
 export interface GroupCoordinatorOptions {
   readonly group: TargetGroup
   /** This router. */
   readonly router: string
-  /** @default DEFAULT_LOAN_SIZE */
+  /**
+   * Maximum number of credits that one router holds on one target.
+   * @default DEFAULT_CREDIT_BATCH_SIZE
+   */
   readonly creditBatchSize?: number
 }
 
-/** What a router knows of the fleet when it looks after a group. */
+/** Fleet state that decides whether this router coordinates a group. */
 export interface CoordinatorContext {
-  /** Home of the group in this router's view. */
+  /** Coordinator of the group in this router's membership view. */
   readonly coordinator: string | undefined
   /** Live routers, this one included. */
   readonly routers: readonly string[]
-  /** Highest epoch that this router has accepted as a holder. */
+  /** Highest epoch that this router's credit pool has accepted. */
   readonly epoch: number
+  /** Milliseconds of the monotonic clock. */
   readonly nowMs: number
 }
 
-/** A count that the home wants from a router. */
+/** A collect request and the router to send it to. */
 export interface OutgoingCollectRequest {
   readonly to: string
   readonly request: CollectRequest
 }
 
-/** The home's side of one group on a router that may or may not be its home. */
+/** Coordinator of one group; grants slots only while this router is elected. */
 export interface GroupCoordinator {
-  /** Takes in the view; returns the counts to ask for now. */
-  update(view: CoordinatorContext): OutgoingCollectRequest[]
-  applyCollectResponse(reply: CollectResponse, nowMs: number): void
-  handleGrantRequest(ask: GrantRequest, view: LedgerContext): GrantResponse
-  /** Whether this router grants places now. */
+  /** Applies the membership view; returns the collect requests to send now. */
+  update(context: CoordinatorContext): OutgoingCollectRequest[]
+  applyCollectResponse(response: CollectResponse, nowMs: number): void
+  handleGrantRequest(
+    request: GrantRequest,
+    context: LedgerContext,
+  ): GrantResponse
+  /** Whether this router grants slots now. */
   readonly granting: boolean
-  status(view: LedgerContext): LedgerStatus[]
+  /** Returns load and bound by target; empty unless this router coordinates. */
+  status(context: LedgerContext): LedgerStatus[]
 }
 
-/** Milliseconds between two tries to collect a router's counts. */
+/** Milliseconds between two collect requests to the same router. */
 const COLLECT_RETRY_MS = 200
-/** Milliseconds that a home waits after it was outbid; doubles each time. */
-const OUTBID_WAIT_MS = 100
-const MAX_OUTBID_WAIT_MS = 5_000
-/** Milliseconds of granting after which earlier outbids are forgotten. */
-const CALM_MS = 10_000
-/** Epochs of one home are this far apart; no two homes use the same one. */
+/** Milliseconds to wait after a higher epoch was seen; doubles each time. */
+const BASE_BACKOFF_MS = 100
+const MAX_BACKOFF_MS = 5_000
+/** Milliseconds of granting after which the backoff starts over. */
+const BACKOFF_RESET_MS = 10_000
+/**
+ * Distance between two epochs of one coordinator. The remainder is a hash of
+ * its id, so that two coordinators don't use the same epoch.
+ */
 const EPOCH_STEP = 65_536
-/** Milliseconds without a message until a router outside the view is gone. */
-const FORGET_AFTER_MS = 2_000
+/** Milliseconds without a message until a router outside the view is removed. */
+const ROUTER_EXPIRY_MS = 2_000
 
-/** Creates the home's side of a group. */
+/** Creates the coordinator of a group. */
 export function createGroupCoordinator(
   options: GroupCoordinatorOptions,
 ): GroupCoordinator {
-  const { group, router, creditBatchSize: loanSize } = options
+  const { group, router, creditBatchSize } = options
   let ledger: GrantLedger | undefined
   let highestEpoch = 0
-  let closedUntilMs = -Infinity
-  let openedAtMs = -Infinity
-  let outbids = 0
+  let backoffUntilMs = -Infinity
+  let startedAtMs = -Infinity
+  let failedAttempts = 0
   let collectedAtMs = -Infinity
 
-  function end(): void {
+  function stop(): void {
     ledger = undefined
   }
 
-  function outbid(epoch: number, nowMs: number): void {
+  /** Stops granting because another router uses a higher epoch. */
+  function yieldTo(epoch: number, nowMs: number): void {
     highestEpoch = Math.max(highestEpoch, epoch)
-    if (nowMs - openedAtMs >= CALM_MS) outbids = 0
-    const waitMs = OUTBID_WAIT_MS * 2 ** outbids
-    closedUntilMs = nowMs + Math.min(MAX_OUTBID_WAIT_MS, waitMs)
-    outbids += 1
-    end()
+    if (nowMs - startedAtMs >= BACKOFF_RESET_MS) failedAttempts = 0
+    const backoffMs = BASE_BACKOFF_MS * 2 ** failedAttempts
+    backoffUntilMs = nowMs + Math.min(MAX_BACKOFF_MS, backoffMs)
+    failedAttempts += 1
+    stop()
   }
 
-  function open(view: CoordinatorContext): GrantLedger {
-    const heard = Math.max(highestEpoch, view.epoch)
-    const turn = Math.floor(heard / EPOCH_STEP) + 1
-    highestEpoch = turn * EPOCH_STEP + (hash32(router) % EPOCH_STEP)
-    openedAtMs = view.nowMs
+  function start(context: CoordinatorContext): GrantLedger {
+    const known = Math.max(highestEpoch, context.epoch)
+    const round = Math.floor(known / EPOCH_STEP) + 1
+    highestEpoch = round * EPOCH_STEP + (hash32(router) % EPOCH_STEP)
+    startedAtMs = context.nowMs
     collectedAtMs = -Infinity
-    return createGrantLedger({ group, epoch: highestEpoch, loanSize })
+    return createGrantLedger({ group, epoch: highestEpoch, creditBatchSize })
   }
 
-  function expectRouters(current: GrantLedger, view: CoordinatorContext): void {
-    for (const id of view.routers)
-      if (!current.knows(id)) current.missing.add(id)
-    for (const id of [...current.missing])
-      if (!view.routers.includes(id)) current.missing.delete(id)
-    const silentSinceMs = view.nowMs - FORGET_AFTER_MS
-    for (const id of current.silentRouters(silentSinceMs))
-      if (!view.routers.includes(id)) current.forget(id, view.nowMs)
+  function updateRouters(
+    current: GrantLedger,
+    context: CoordinatorContext,
+  ): void {
+    for (const id of context.routers)
+      if (!current.hasRouter(id)) current.missingRouters.add(id)
+    for (const id of [...current.missingRouters])
+      if (!context.routers.includes(id)) current.missingRouters.delete(id)
+    const staleSinceMs = context.nowMs - ROUTER_EXPIRY_MS
+    for (const id of current.findStaleRouters(staleSinceMs))
+      if (!context.routers.includes(id)) current.removeRouter(id, context.nowMs)
   }
 
-  function collectCalls(
+  function createCollectRequests(
     current: GrantLedger,
     nowMs: number,
   ): OutgoingCollectRequest[] {
@@ -116,30 +131,32 @@
     const { epoch } = current
     const { id, membersHash } = group
     const request = { group: id, membersHash, home: router, epoch }
-    return [...current.missing].map((to) => ({ to, request: request }))
+    return [...current.missingRouters].map((to) => ({ to, request }))
   }
 
   return {
-    update(view) {
-      if (view.coordinator !== router) {
-        end()
+    update(context) {
+      const { coordinator, epoch, nowMs } = context
+      if (coordinator !== router) {
+        stop()
         return []
       }
-      if (ledger && view.epoch > ledger.epoch) outbid(view.epoch, view.nowMs)
-      if (!ledger && view.nowMs < closedUntilMs) return []
-      ledger ??= open(view)
-      expectRouters(ledger, view)
-      return collectCalls(ledger, view.nowMs)
+      if (ledger && epoch > ledger.epoch) yieldTo(epoch, nowMs)
+      if (!ledger && nowMs < backoffUntilMs) return []
+      ledger ??= start(context)
+      updateRouters(ledger, context)
+      return createCollectRequests(ledger, nowMs)
     },
-    applyCollectResponse(reply, nowMs) {
+    applyCollectResponse(response, nowMs) {
       if (!ledger) return
-      if (reply.epoch > ledger.epoch) outbid(reply.epoch, nowMs)
-      else if (reply.accepted) ledger.collected(reply, nowMs)
+      if (response.epoch > ledger.epoch) yieldTo(response.epoch, nowMs)
+      else if (response.accepted) ledger.applyCollectResponse(response, nowMs)
     },
-    handleGrantRequest(ask, view) {
-      if (ledger && ask.epoch > ledger.epoch) outbid(ask.epoch, view.nowMs)
-      if (ledger) return ledger.ask(ask, view)
-      const granted = ask.wants.map(() => -1)
+    handleGrantRequest(request, context) {
+      if (ledger && request.epoch > ledger.epoch)
+        yieldTo(request.epoch, context.nowMs)
+      if (ledger) return ledger.handleGrantRequest(request, context)
+      const granted = request.wants.map(() => -1)
       return {
         status: GrantStatus.NotCoordinator,
         epoch: 0,
@@ -148,8 +165,8 @@
       }
     },
     get granting() {
-      return ledger?.missing.size === 0
+      return ledger?.missingRouters.size === 0
     },
-    status: (view) => ledger?.status(view) ?? [],
+    status: (context) => ledger?.status(context) ?? [],
   }
 }
--- a/packages/core/src/node/routing/createGroupRing.ts
+++ b/packages/core/src/node/routing/createGroupRing.ts
@@ -1,12 +1,12 @@
 import { hash32 } from '../hash/hash32.js'
-import { RING_POINTS } from './constants.js'
+import { RING_POINTS_PER_TARGET } from './constants.js'
 import type { TargetGroup } from './targetGroup.js'
 
-/** Leads a chat to its groups without looking at every target. */
+/** Hash ring that maps a chat to groups without a scan of all targets. */
 export interface GroupRing {
-  /** Groups in the chat's order: the first one, then the next ones. */
+  /** Returns all groups in the chat's order of preference. */
   groupsOf(chat: string): Iterable<TargetGroup>
-  /** Bytes of the ring's tables. */
+  /** Size of the ring's tables in bytes. */
   readonly bytes: number
 }
 
@@ -19,7 +19,7 @@
   const points: RingPoint[] = []
   for (const [group, { members }] of groups.entries()) {
     for (const { id, weight } of members) {
-      const count = Math.max(1, Math.round(RING_POINTS * weight))
+      const count = Math.max(1, Math.round(RING_POINTS_PER_TARGET * weight))
       for (let point = 0; point < count; point += 1)
         points.push({ hash: hash32(id, point + 1), group })
     }
@@ -27,7 +27,7 @@
   return points.sort((a, b) => a.hash - b.hash || a.group - b.group)
 }
 
-/** Builds the ring; costs n log n, so build it when the targets change. */
+/** Creates a ring in O(n log n); needed only when the targets change. */
 export function createGroupRing(groups: readonly TargetGroup[]): GroupRing {
   const points = groups.length > 1 ? ringPoints(groups) : []
   const hashes = Uint32Array.from(points, ({ hash }) => hash)
--- a/packages/core/src/node/routing/createGroupTargetSelector.ts
+++ b/packages/core/src/node/routing/createGroupTargetSelector.ts
@@ -6,235 +6,231 @@
   PlacementRequest,
 } from './grantMessages.js'
 import { GrantStatus } from './grantStatus.js'
-import { SelectionSource } from './selectionSource.js'
 import { rendezvousOrder } from './rendezvousOrder.js'
+import { SelectionSource } from './selectionSource.js'
 import type { TargetGroup } from './targetGroup.js'
 
-/** What a placer works with. */
+/** Options for {@link createGroupTargetSelector}. */
 export interface GroupTargetSelectorOptions {
   readonly group: TargetGroup
   readonly creditPool: CreditPool
   readonly fallbackQuota: FallbackQuota
-  /** Milliseconds that a request waits for the home at most. */
+  /** Milliseconds that a request waits for the coordinator at most. */
   readonly coordinatorTimeoutMs: number
 }
 
-/** What a placer must know at each decision. */
+/** Inputs of a selector at the time of a decision. */
 export interface SelectionContext {
+  /** Milliseconds of the monotonic clock. */
   readonly nowMs: number
-  /** Whether there is a home to ask. */
   readonly hasCoordinator: boolean
-  /** Whether this router is the home itself. */
+  /** Whether this router is the coordinator. */
   readonly isCoordinator: boolean
+  /** Whether the target at an index accepts new requests. */
   eligible(index: number): boolean
 }
 
-/** Where a request goes. */
+/** Target selected for a request. */
 export interface TargetSelection {
   readonly requestId: number
   /** Index of the target; -1 for none. */
   readonly index: number
   readonly source: SelectionSource
-  /** Milliseconds that the decision waited. */
+  /** Milliseconds that the request waited for the decision. */
   readonly waitedMs: number
 }
 
-/** Places the requests of one router on one group. */
+/** Selects targets of one group for the requests of one router. */
 export interface GroupTargetSelector {
-  /** Places a request at once, or lets it wait for the home. */
+  /** Selects a target at once, or returns undefined and queues the request. */
   select(
     requestId: number,
-    want: PlacementRequest,
-    view: SelectionContext,
+    placement: PlacementRequest,
+    context: SelectionContext,
   ): TargetSelection | undefined
-  /** The message to send now, if any; one is under way at a time. */
-  nextGrantRequest(view: SelectionContext): GrantRequest | undefined
+  /** Returns the message to send now, if any; at most one is in transit. */
+  nextGrantRequest(context: SelectionContext): GrantRequest | undefined
   applyGrantResponse(
     sequence: number,
-    reply: GrantResponse,
-    view: SelectionContext,
+    response: GrantResponse,
+    context: SelectionContext,
   ): TargetSelection[]
-  /** The message got no answer: its requests do without the home. */
+  /** Selects targets without the coordinator after a message got no response. */
   handleGrantFailure(
     sequence: number,
-    view: SelectionContext,
+    context: SelectionContext,
   ): TargetSelection[]
-  /** Requests that have waited for the limit do without the home. */
-  expireWaiting(view: SelectionContext): TargetSelection[]
-  /** When the next request has waited for the limit. */
+  /** Selects targets without the coordinator for requests that timed out. */
+  expireWaiting(context: SelectionContext): TargetSelection[]
+  /** Time at which the next request times out, on the monotonic clock. */
   readonly nextExpiryMs: number | undefined
+  /** Frees the slot of a request that ended. */
   release(index: number): void
 }
 
-interface Waiting {
+interface WaitingPlacement {
   readonly requestId: number
-  readonly want: PlacementRequest
+  readonly placement: PlacementRequest
   readonly sinceMs: number
 }
 
-/** Milliseconds for which a silent home is not asked again. */
-const SILENT_HOME_MS = 250
+/** Milliseconds without messages to a coordinator that did not respond. */
+const COORDINATOR_BACKOFF_MS = 250
 
-/** Milliseconds after which a home that was not ready is asked again. */
+/** Milliseconds until a coordinator that was not ready is asked again. */
 export const COORDINATOR_RETRY_MS = 1
 
-/** Creates the placer of one group. */
+/** Creates the selector of one group. */
 export function createGroupTargetSelector(
   options: GroupTargetSelectorOptions,
 ): GroupTargetSelector {
-  const {
-    group,
-    creditPool: holder,
-    fallbackQuota: shares,
-    coordinatorTimeoutMs: homeLimitMs,
-  } = options
+  const { group, creditPool, fallbackQuota, coordinatorTimeoutMs } = options
   const members = group.members.map(({ id, weight }, index) => ({
     id,
     weight,
     index,
   }))
-  let waiting: Waiting[] = []
-  let asked: Waiting[] = []
-  let askedSequence: number | undefined
-  let silentUntilMs = -Infinity
+  let waiting: WaitingPlacement[] = []
+  let requested: WaitingPlacement[] = []
+  let pendingSequence: number | undefined
+  let backoffUntilMs = -Infinity
   let retryAtMs = -Infinity
 
   function* candidates(
-    want: PlacementRequest,
-    view: SelectionContext,
+    placement: PlacementRequest,
+    context: SelectionContext,
   ): Iterable<number> {
-    const usable = (index: number): boolean =>
-      view.eligible(index) && !want.exclude.includes(index)
-    if (want.hint !== undefined && usable(want.hint)) yield want.hint
-    for (const { index } of rendezvousOrder(want.key, members))
-      if (usable(index)) yield index
+    const { key, hint, exclude } = placement
+    const isUsable = (index: number): boolean =>
+      context.eligible(index) && !exclude.includes(index)
+    if (hint !== undefined && isUsable(hint)) yield hint
+    for (const { index } of rendezvousOrder(key, members))
+      if (isUsable(index)) yield index
   }
 
-  function preferred(
-    want: PlacementRequest,
-    view: SelectionContext,
+  function firstCandidate(
+    placement: PlacementRequest,
+    context: SelectionContext,
   ): number | undefined {
-    for (const index of candidates(want, view)) return index
+    for (const index of candidates(placement, context)) return index
     return undefined
   }
 
-  function withoutHome(
-    entry: Waiting,
-    view: SelectionContext,
+  function selectWithoutCoordinator(
+    entry: WaitingPlacement,
+    context: SelectionContext,
   ): TargetSelection {
-    const { requestId, want, sinceMs } = entry
-    const waitedMs = view.nowMs - sinceMs
-    for (const index of candidates(want, view)) {
-      if (!shares.hasQuota(index)) continue
-      shares.consume(index)
-      holder.addInFlight(index)
+    const { requestId, placement, sinceMs } = entry
+    const waitedMs = context.nowMs - sinceMs
+    for (const index of candidates(placement, context)) {
+      if (!fallbackQuota.hasQuota(index)) continue
+      fallbackQuota.consume(index)
+      creditPool.addInFlight(index)
       return { requestId, index, source: SelectionSource.Share, waitedMs }
     }
-    const index = shares.findMostHeadroom(want.exclude)
-    if (index === undefined || !view.eligible(index))
+    const index = fallbackQuota.findMostHeadroom(placement.exclude)
+    if (index === undefined || !context.eligible(index))
       return { requestId, index: -1, source: SelectionSource.None, waitedMs }
-    shares.consume(index)
-    holder.addInFlight(index)
+    fallbackQuota.consume(index)
+    creditPool.addInFlight(index)
     return { requestId, index, source: SelectionSource.Forced, waitedMs }
   }
 
-  function endAsk(): Waiting[] {
-    const ended = asked
-    asked = []
-    askedSequence = undefined
+  function endGrantRequest(): WaitingPlacement[] {
+    const ended = requested
+    requested = []
+    pendingSequence = undefined
     return ended
   }
 
-  function giveUp(view: SelectionContext): TargetSelection[] {
-    holder.abandonRequest()
-    silentUntilMs = view.nowMs + SILENT_HOME_MS
-    return endAsk().map((entry) => withoutHome(entry, view))
+  function abandonGrantRequest(context: SelectionContext): TargetSelection[] {
+    creditPool.abandonRequest()
+    backoffUntilMs = context.nowMs + COORDINATOR_BACKOFF_MS
+    return endGrantRequest().map((entry) =>
+      selectWithoutCoordinator(entry, context),
+    )
   }
 
-  function usable(view: SelectionContext): boolean {
-    return view.hasCoordinator && view.nowMs >= silentUntilMs
+  function isCoordinatorUsable(context: SelectionContext): boolean {
+    return context.hasCoordinator && context.nowMs >= backoffUntilMs
   }
 
   return {
-    select(requestId, want, view) {
-      const first = preferred(want, view)
-      if (first === undefined)
-        return {
-          requestId,
-          index: -1,
-          source: SelectionSource.None,
-          waitedMs: 0,
-        }
-      if (holder.consumeCredit(first, view.nowMs)) {
-        shares.consume(first)
-        return {
-          requestId,
-          index: first,
-          source: SelectionSource.Credit,
-          waitedMs: 0,
-        }
+    select(requestId, placement, context) {
+      const { nowMs } = context
+      const index = firstCandidate(placement, context)
+      if (index === undefined) {
+        const source = SelectionSource.None
+        return { requestId, index: -1, source, waitedMs: 0 }
+      }
+      if (creditPool.consumeCredit(index, nowMs)) {
+        fallbackQuota.consume(index)
+        const source = SelectionSource.Credit
+        return { requestId, index, source, waitedMs: 0 }
       }
-      const entry = { requestId, want, sinceMs: view.nowMs }
-      if (!usable(view)) return withoutHome(entry, view)
+      const entry = { requestId, placement, sinceMs: nowMs }
+      if (!isCoordinatorUsable(context))
+        return selectWithoutCoordinator(entry, context)
       waiting.push(entry)
       return undefined
     },
-    nextGrantRequest(view) {
-      if (askedSequence !== undefined || !usable(view)) return undefined
-      if (view.nowMs < retryAtMs) return undefined
-      if (
-        waiting.length === 0 &&
-        !holder.isReportDue(view.nowMs, view.isCoordinator)
-      )
+    nextGrantRequest(context) {
+      const { nowMs, isCoordinator } = context
+      if (pendingSequence !== undefined || !isCoordinatorUsable(context))
+        return undefined
+      if (nowMs < retryAtMs) return undefined
+      if (waiting.length === 0 && !creditPool.isReportDue(nowMs, isCoordinator))
         return undefined
-      asked = waiting
+      requested = waiting
       waiting = []
-      const ask = holder.createGrantRequest(
-        asked.map(({ want }) => want),
-        view.nowMs,
+      const request = creditPool.createGrantRequest(
+        requested.map(({ placement }) => placement),
+        nowMs,
       )
-      askedSequence = ask.sequence
-      return ask
+      pendingSequence = request.sequence
+      return request
     },
-    applyGrantResponse(sequence, reply, view) {
-      if (sequence !== askedSequence) return []
-      const granted = holder.applyGrantResponse(sequence, reply)
-      const answered = endAsk()
-      if (!granted && reply.status === GrantStatus.ViewsDiffer)
-        return answered.map((entry) => withoutHome(entry, view))
+    applyGrantResponse(sequence, response, context) {
+      if (sequence !== pendingSequence) return []
+      const granted = creditPool.applyGrantResponse(sequence, response)
+      const answered = endGrantRequest()
+      if (!granted && response.status === GrantStatus.ViewsDiffer)
+        return answered.map((entry) => selectWithoutCoordinator(entry, context))
       if (!granted) {
-        // The home may be ready within the limit.
+        // The coordinator may become ready before the requests time out.
         waiting = [...answered, ...waiting]
-        retryAtMs = view.nowMs + COORDINATOR_RETRY_MS
+        retryAtMs = context.nowMs + COORDINATOR_RETRY_MS
         return []
       }
-      return answered.map((entry, position) => {
+      return answered.map(({ requestId, sinceMs }, position) => {
         const index = granted[position] ?? -1
-        if (index >= 0) shares.consume(index)
+        if (index >= 0) fallbackQuota.consume(index)
         const source = index < 0 ? SelectionSource.None : SelectionSource.Grant
-        const { requestId, sinceMs } = entry
-        return { requestId, index, source, waitedMs: view.nowMs - sinceMs }
+        return { requestId, index, source, waitedMs: context.nowMs - sinceMs }
       })
     },
-    handleGrantFailure(sequence, view) {
-      return sequence === askedSequence ? giveUp(view) : []
+    handleGrantFailure(sequence, context) {
+      return sequence === pendingSequence ? abandonGrantRequest(context) : []
     },
-    expireWaiting(view) {
-      const isDue = ({ sinceMs }: Waiting): boolean =>
-        view.nowMs - sinceMs >= homeLimitMs
-      const due = waiting.filter(isDue)
-      const silent =
-        asked.some(isDue) || (due.length > 0 && askedSequence !== undefined)
-      const placed = silent ? giveUp(view) : []
-      waiting = waiting.filter((entry) => !isDue(entry))
-      return [...placed, ...due.map((entry) => withoutHome(entry, view))]
+    expireWaiting(context) {
+      const isExpired = ({ sinceMs }: WaitingPlacement): boolean =>
+        context.nowMs - sinceMs >= coordinatorTimeoutMs
+      const expired = waiting.filter(isExpired)
+      const isUnresponsive =
+        requested.some(isExpired) ||
+        (expired.length > 0 && pendingSequence !== undefined)
+      const selections = isUnresponsive ? abandonGrantRequest(context) : []
+      waiting = waiting.filter((entry) => !isExpired(entry))
+      for (const entry of expired)
+        selections.push(selectWithoutCoordinator(entry, context))
+      return selections
     },
     get nextExpiryMs() {
-      const oldest = asked[0] ?? waiting[0]
-      return oldest && oldest.sinceMs + homeLimitMs
+      const oldest = requested[0] ?? waiting[0]
+      return oldest && oldest.sinceMs + coordinatorTimeoutMs
     },
     release: (index) => {
-      holder.removeInFlight(index)
+      creditPool.removeInFlight(index)
     },
   }
 }
--- a/packages/core/src/node/routing/createTargetListGuard.ts
+++ b/packages/core/src/node/routing/createTargetListGuard.ts
@@ -1,25 +1,25 @@
-/** Keeps the last good view of a service's targets when a new one is suspect. */
+/** Keeps the last plausible target list of a service over an implausible one. */
 export interface TargetListGuard {
-  /** Returns the targets that may take new work, out of those listed. */
+  /** Returns the targets to use: `listed`, or the last accepted list. */
   accept(listed: readonly string[], nowMs: number): readonly string[]
 }
 
-/** What a view guard works with. */
+/** Options for {@link createTargetListGuard}. */
 export interface TargetListGuardOptions {
   /** Share of the targets that may vanish at once. @default 0.5 */
   readonly maxVanished?: number
-  /** Milliseconds until a smaller view is believed after all. @default 60000 */
-  readonly believeAfterMs?: number
+  /** Milliseconds after which a smaller list is accepted. @default 60000 */
+  readonly acceptAfterMs?: number
 }
 
 /**
  * Creates a guard that fails static: when more than `maxVanished` of the
- * targets vanish at once, the list is taken to be wrong.
+ * targets vanish at once, the new list is assumed to be wrong.
  */
 export function createTargetListGuard(
   options: TargetListGuardOptions = {},
 ): TargetListGuard {
-  const { maxVanished = 0.5, believeAfterMs = 60_000 } = options
+  const { maxVanished = 0.5, acceptAfterMs = 60_000 } = options
   let last: readonly string[] = []
   let suspectSinceMs: number | undefined
 
@@ -34,7 +34,7 @@
       if (!isSuspect(listed)) suspectSinceMs = undefined
       else {
         suspectSinceMs ??= nowMs
-        if (nowMs - suspectSinceMs < believeAfterMs) return last
+        if (nowMs - suspectSinceMs < acceptAfterMs) return last
         suspectSinceMs = undefined
       }
       last = [...listed]
--- a/packages/core/src/node/routing/grantMessages.ts
+++ b/packages/core/src/node/routing/grantMessages.ts
@@ -1,57 +1,58 @@
 import type { GrantStatus } from './grantStatus.js'
 
-/** One request that needs a place. */
+/** A request that needs a slot on a target. */
 export interface PlacementRequest {
-  /** The chat's key; decides the order of the targets. */
+  /** Key of the chat; decides the order of the targets. */
   readonly key: string
-  /** Index of the target that is believed to hold the chat. */
+  /** Index of the target that probably has the chat's prompt cache. */
   readonly hint?: number
-  /** Indexes of targets that must not be chosen. */
+  /** Indexes of targets that must not be selected. */
   readonly exclude: readonly number[]
 }
 
-/** What a router tells the home of a group, and the places it asks for. */
+/** Reports a router's usage to the coordinator of a group and requests slots. */
 export interface GrantRequest {
   readonly group: string
   readonly membersHash: number
   readonly router: string
-  /** Identity of this start of the router. */
+  /** Identifies one start of the router. */
   readonly incarnation: string
-  /** Grows with each message; the home drops older ones. */
+  /** Increases with each message; the coordinator drops older ones. */
   readonly sequence: number
   /** Highest epoch that the router has accepted. */
   readonly epoch: number
-  /** Requests in flight from this router, by target; the whole truth. */
+  /** All requests in flight from this router, by target. */
   readonly used: readonly number[]
-  /** Unused credits that this router still holds, by target. */
+  /** Unused credits that this router holds, by target. */
   readonly credits: readonly number[]
-  /** Requests that ended since the last message. */
+  /** Requests that ended since the previous message. */
   readonly finished: number
   readonly wants: readonly PlacementRequest[]
 }
 
-/** The home's answer. */
+/** The coordinator's response to a {@link GrantRequest}. */
 export interface GrantResponse {
   readonly status: GrantStatus
   /** Credits of lower epochs are void. */
   readonly epoch: number
-  /** Index of the granted target for each want; -1 for none. */
+  /** Index of the granted target for each entry of `wants`; -1 for none. */
   readonly granted: readonly number[]
-  /** Credits lent in advance, by target. */
+  /** Credits granted in advance, by target. */
   readonly loans: readonly number[]
 }
 
-/** A new home collects what routers have in flight before it grants. */
+/** Asks a router for its requests in flight before a new coordinator grants. */
 export interface CollectRequest {
   readonly group: string
   readonly membersHash: number
+  /** Router that is the new coordinator. */
   readonly home: string
   readonly epoch: number
 }
 
-/** A router's answer to a new home. */
+/** A router's response to a new coordinator. */
 export interface CollectResponse {
-  /** Whether the router obeys the new epoch from now on. */
+  /** Whether the router accepts the new epoch. */
   readonly accepted: boolean
   /** Highest epoch that the router has accepted. */
   readonly epoch: number
--- a/packages/core/src/node/routing/grantStatus.ts
+++ b/packages/core/src/node/routing/grantStatus.ts
@@ -1,12 +1,12 @@
-/** How a home router took a request for places. */
+/** Outcome of a grant request. */
 export enum GrantStatus {
   Granted = 'granted',
-  /** The home still collects the counts of other routers. */
+  /** The coordinator is still collecting the usage of other routers. */
   Collecting = 'collecting',
-  /** The router asked is not the home in its own view. */
+  /** The requested router does not consider itself the coordinator. */
   NotCoordinator = 'not-home',
-  /** The two routers know different members of the group. */
+  /** The two routers have different lists of the group's members. */
   ViewsDiffer = 'views-differ',
-  /** An older message, or an epoch that a newer home has ended. */
+  /** An older message, or an epoch that a newer coordinator has ended. */
   Stale = 'stale',
 }
--- a/packages/core/src/node/routing/ledgerContext.ts
+++ b/packages/core/src/node/routing/ledgerContext.ts
@@ -1,12 +1,12 @@
-/** What a ledger must know at each decision. */
+/** Inputs of a grant ledger at the time of a decision. */
 export interface LedgerContext {
   /** Milliseconds of the monotonic clock. */
   readonly nowMs: number
   readonly maxLoadFactor: number
-  /** Mean load for each unit of weight over all groups of the service. */
+  /** Mean load per unit of weight over all groups of the service. */
   readonly serviceMean?: number
-  /** Whether the target at an index may take new work. */
+  /** Whether the target at an index accepts new requests. */
   eligible(index: number): boolean
-  /** Late report of the target at an index. */
+  /** Load in the last, delayed report of the target at an index. */
   reported(index: number): number | undefined
 }
--- a/packages/core/src/node/routing/rendezvousOrder.ts
+++ b/packages/core/src/node/routing/rendezvousOrder.ts
@@ -1,6 +1,6 @@
 import { hash32 } from '../hash/hash32.js'
 
-/** A target as the choice sees it. */
+/** A target with its relative capacity. */
 export interface WeightedTarget {
   readonly id: string
   readonly weight: number
--- a/packages/core/src/node/routing/selectCoordinator.ts
+++ b/packages/core/src/node/routing/selectCoordinator.ts
@@ -1,6 +1,6 @@
 import { rendezvousOrder } from './rendezvousOrder.js'
 
-/** Returns the router that grants places on a group, among the live ones. */
+/** Returns the live router that coordinates a group, by rendezvous hashing. */
 export function selectCoordinator(
   groupId: string,
   routers: readonly string[],
--- a/packages/core/src/node/routing/selectionSource.ts
+++ b/packages/core/src/node/routing/selectionSource.ts
@@ -1,12 +1,12 @@
-/** What let a request take its place. */
+/** Why a request was allowed on its target. */
 export enum SelectionSource {
-  /** A credit that the home lent in advance. */
+  /** A credit granted in advance. */
   Credit = 'credit',
-  /** A grant of the home. */
+  /** A grant of the coordinator for this request. */
   Grant = 'grant',
-  /** This router's share of the free places, without the home. */
+  /** This router's fallback quota, without the coordinator. */
   Share = 'share',
-  /** Neither home nor share: the least loaded target by the digests. */
+  /** No fallback quota left: the target with the most headroom. */
   Forced = 'forced',
   /** No target can take the request. */
   None = 'none',
--- a/packages/core/src/node/routing/targetGroup.ts
+++ b/packages/core/src/node/routing/targetGroup.ts
@@ -1,20 +1,20 @@
 import { hash32 } from '../hash/hash32.js'
-import { GROUP_TARGETS } from './constants.js'
+import { TARGETS_PER_GROUP } from './constants.js'
 import type { WeightedTarget } from './rendezvousOrder.js'
 
-/** Targets of one service that one home router grants places on. */
+/** Targets of one service whose slots one coordinator grants. */
 export interface TargetGroup {
   /** Unique over all services. */
   readonly id: string
   readonly service: string
   /** Sorted by id; messages name a target by its index here. */
   readonly members: readonly WeightedTarget[]
-  /** Equal on two routers only if they know the same members. */
+  /** Differs between routers that have different lists of the members. */
   readonly membersHash: number
 }
 
 function groupCount(targets: number): number {
-  const exact = Math.log2(Math.max(1, targets / GROUP_TARGETS))
+  const exact = Math.log2(Math.max(1, targets / TARGETS_PER_GROUP))
   return 2 ** Math.round(exact)
 }
 
@@ -34,9 +34,9 @@
 }
 
 /**
- * Splits the targets of a service into groups by a hash of their ids, so that
- * a target that joins or leaves changes its own group only, until their number
- * doubles.
+ * Splits the targets of a service into groups by a hash of their ids. A target
+ * that joins or leaves changes only its own group, unless the number of groups
+ * (a power of two) changes.
  */
 export function groupTargets(
   service: string,
