--- a/packages/core/src/node/admission/__tests__/createRequestQueue.test.ts
+++ b/packages/core/src/node/admission/__tests__/createRequestQueue.test.ts
@@ -39,7 +39,7 @@
     rank: fc.nat(9),
     customer: fc.constantFrom('a', 'b', 'c'),
     deadline: fc.nat(5),
-    // Whole half-lives and weights of powers of 2 keep all shares exact.
+    // Whole half-lives and weights that are powers of 2 keep all shares exact.
     pauseMs: fc.constantFrom(0, HALF_LIFE_MS),
     pick: fc.nat(30),
   }),
@@ -47,7 +47,7 @@
 )
 
 describe('createRequestQueue', () => {
-  it('agrees with a queue that sorts everything at each step', () => {
+  it('behaves like a queue that sorts everything at each step', () => {
     const property = fc.property(
       steps,
       fc.integer({ min: 1, max: 8 }),
@@ -62,7 +62,7 @@
         for (const [index, step] of list.entries()) {
           nowMs += step.pauseMs
           if (step.kind === StepKind.Take) {
-            assert.equal(queue.dequeue(nowMs)?.id, naive.take(nowMs))
+            assert.equal(queue.dequeue(nowMs)?.id, naive.dequeue(nowMs))
           } else if (step.kind === StepKind.Remove) {
             queue.remove(String(step.pick))
             naive.remove(String(step.pick))
@@ -74,7 +74,7 @@
               enqueuedAtMs: nowMs,
               deadlineAtMs: nowMs + step.deadline,
             })
-            assert.equal(queue.enqueue(offered)[0]?.id, naive.offer(offered))
+            assert.equal(queue.enqueue(offered)[0]?.id, naive.enqueue(offered))
           }
           assert.ok(queue.size <= capacity)
         }
@@ -83,7 +83,7 @@
     fc.assert(property, { seed: 41, numRuns: 300 })
   })
 
-  it('never runs a request before one of a better rank after ageing', () => {
+  it('never runs a request before one with a lower rank after ageing', () => {
     const property = fc.property(steps, (list) => {
       const queue = createRequestQueue({
         capacity: () => 50,
@@ -109,7 +109,7 @@
     fc.assert(property, { seed: 42 })
   })
 
-  it('sheds the lowest rank first, the newcomer included', () => {
+  it('sheds the least urgent request first, the new one included', () => {
     const queue = createRequestQueue({
       capacity: () => 2,
       ageingMs: AGEING_MS,
@@ -122,7 +122,7 @@
     assert.equal(queue.dequeue(0)?.id, 'top')
   })
 
-  it('serves a low rank though urgent requests keep coming', () => {
+  it('serves the least urgent rank while urgent requests keep arriving', () => {
     const queue = createRequestQueue({
       capacity: () => 50,
       ageingMs: AGEING_MS,
@@ -142,7 +142,7 @@
     assert.ok(nowMs <= 10 * AGEING_MS)
   })
 
-  it('serves customers by weight while one crowds the queue', () => {
+  it('serves customers by weight while one has most of the queue', () => {
     const queue = createRequestQueue({
       capacity: () => 500,
       ageingMs: 1e9,
@@ -162,7 +162,7 @@
     assert.deepEqual(Object.fromEntries(served), { a: 10, b: 20, c: 40 })
   })
 
-  it('lets a customer that was away catch up on the recent past only', () => {
+  it('lets a customer that was idle catch up on the recent past only', () => {
     const shareHalfLifeMs = 1_000
     const queue = createRequestQueue({
       capacity: () => 50_000,
@@ -180,13 +180,14 @@
       )
     let caughtUp = 0
     while (queue.dequeue(nowMs + 10 * caughtUp)?.customer === 'd') caughtUp += 1
-    // Half of what the other got within the mean life of its service.
+    // The shares meet at half of the other customer's decayed service, which is
+    // what it got within one mean lifetime.
     const meanLifeMs = shareHalfLifeMs / Math.LN2
     assert.ok(caughtUp > 0)
     assert.ok(caughtUp <= meanLifeMs / 10)
   })
 
-  it('sheds the customer over its share, not one that returns', () => {
+  it('sheds the customer above its share, not one that returns', () => {
     const queue = createRequestQueue({
       capacity: () => 4,
       ageingMs: 1e9,
@@ -200,7 +201,7 @@
     for (const id of ['d1', 'd2', 'd3', 'd4']) {
       const shed = queue.enqueue(request({ id, customer: 'd' }))
       assert.deepEqual(
-        shed.map((victim) => victim.id),
+        shed.map(({ id: shedId }) => shedId),
         id === 'd4' ? ['surge'] : [],
       )
     }
--- a/packages/core/src/node/admission/__tests__/naiveQueue.ts
+++ b/packages/core/src/node/admission/__tests__/naiveQueue.ts
@@ -5,7 +5,7 @@
   readonly atMs: number
 }
 
-/** Keeps the whole history and sorts everything at each step. */
+/** Reference queue that keeps the whole history and sorts at each step. */
 export class NaiveQueue {
   private waiting: WaitingRequest[] = []
   private readonly served: Served[] = []
@@ -28,13 +28,13 @@
     return this.service(request.customer, nowMs) / request.weight
   }
 
-  private claim(request: WaitingRequest, nowMs: number): number {
+  private shareWithWaiting(request: WaitingRequest, nowMs: number): number {
     const own = this.waiting.filter((r) => r.customer === request.customer)
     const service = this.service(request.customer, nowMs)
     return (service + own.length) / request.weight
   }
 
-  offer(request: WaitingRequest): string | undefined {
+  enqueue(request: WaitingRequest): string | undefined {
     this.waiting.push(request)
     if (this.waiting.length <= this.capacity) return undefined
     const nowMs = request.enqueuedAtMs
@@ -43,14 +43,14 @@
       .sort(
         (a, b) =>
           b.rank - a.rank ||
-          this.claim(b, nowMs) - this.claim(a, nowMs) ||
+          this.shareWithWaiting(b, nowMs) - this.shareWithWaiting(a, nowMs) ||
           b.enqueuedAtMs - a.enqueuedAtMs,
       )
     if (victim) this.remove(victim.id)
     return victim?.id
   }
 
-  take(nowMs: number): string | undefined {
+  dequeue(nowMs: number): string | undefined {
     const aged = (r: WaitingRequest) =>
       r.rank - Math.floor((nowMs - r.enqueuedAtMs) / this.ageingMs)
     const [next] = [...this.waiting].sort(
--- a/packages/core/src/node/admission/__tests__/queueCapacity.test.ts
+++ b/packages/core/src/node/admission/__tests__/queueCapacity.test.ts
@@ -6,13 +6,13 @@
 import { reservedSlots } from '../reservedSlots.js'
 
 describe('queueCapacity', () => {
-  it('is what the places work off in the time given', () => {
+  it('is the number of requests that run within the drain time', () => {
     const options = { concurrency: 100, drainMs: 2_000, maxWaiting: 1_000 }
     assert.equal(queueCapacity({ ...options, meanRunMs: 20_000 }), 10)
     assert.equal(queueCapacity({ ...options, meanRunMs: undefined }), 1_000)
   })
 
-  it('stays between one and the longest queue', () => {
+  it('is at least one and at most maxWaiting', () => {
     const property = fc.property(
       fc.integer({ min: 1, max: 500 }),
       fc.double({ min: 0, max: 1e7, noNaN: true }),
@@ -33,7 +33,7 @@
 })
 
 describe('createMeanRunTime', () => {
-  it('starts at the first run and follows a change', () => {
+  it('starts at the first sample and follows a change', () => {
     const time = createMeanRunTime()
     const means = [time.meanMs]
     time.add(100)
@@ -45,7 +45,7 @@
 })
 
 describe('reservedPlaces', () => {
-  it('keeps none of a few places, nor of places without limit', () => {
+  it('reserves none of a few slots and none of unlimited slots', () => {
     assert.equal(reservedSlots(10, 0.03), 0)
     assert.equal(reservedSlots(332, 0.03), 9)
     assert.equal(reservedSlots(Infinity, 0.03), 0)
--- a/packages/core/src/node/admission/createMeanRunTime.ts
+++ b/packages/core/src/node/admission/createMeanRunTime.ts
@@ -1,13 +1,14 @@
+/** Weight of a sample: the average covers about the last 20 requests. */
 const SAMPLE_WEIGHT = 0.05
 
-/** Mean time that requests run, as a moving average. */
+/** Exponential moving average of the run time of requests. */
 export interface MeanRunTime {
   add(runMs: number): void
-  /** Milliseconds; undefined before the first request has ended. */
+  /** Mean in milliseconds; undefined before the first request has ended. */
   readonly meanMs: number | undefined
 }
 
-/** Creates a moving average over about the last 20 requests. */
+/** Creates an average without samples. */
 export function createMeanRunTime(): MeanRunTime {
   let meanMs: number | undefined
   return {
--- a/packages/core/src/node/admission/createRequestQueue.ts
+++ b/packages/core/src/node/admission/createRequestQueue.ts
@@ -2,35 +2,35 @@
 import { effectiveRank } from './effectiveRank.js'
 import type { WaitingRequest } from './waitingRequest.js'
 
-/** Rank for which a part of the places is kept free. */
+/** Rank for which a part of the slots is reserved. */
 const URGENT_RANK = 0
 
-/** How a queue orders and bounds its requests. */
+/** Options for {@link createRequestQueue}. */
 export interface RequestQueueOptions {
-  /** Requests that may wait at the moment. */
+  /** Returns the number of requests that may wait now. */
   readonly capacity: () => number
-  /** Milliseconds of waiting that improve a rank by one. */
+  /** Milliseconds of waiting that raise the priority by one rank. */
   readonly ageingMs: number
-  /** Milliseconds in which half of a customer's past service is forgotten. */
+  /** Half-life of a customer's past service, in milliseconds. */
   readonly shareHalfLifeMs: number
 }
 
-/** A bounded queue: rank first, then weighted share, then deadline. */
+/** Bounded queue ordered by rank, then weighted share, then deadline. */
 export interface RequestQueue<T extends WaitingRequest> {
   readonly size: number
-  /** Takes a request in; returns those that are shed to keep the capacity. */
+  /** Adds a request; returns the requests shed to stay within capacity. */
   enqueue(request: T): T[]
-  /** Takes out the request that runs next. */
+  /** Removes and returns the request that runs next. */
   dequeue(nowMs: number): T | undefined
-  /** Takes out the next request of rank 0. */
+  /** Removes and returns the next request of rank 0. */
   dequeueUrgent(nowMs: number): T | undefined
-  /** Requests of rank 0 that wait. */
+  /** Number of waiting requests of rank 0. */
   readonly urgentSize: number
-  /** Takes a request out that is no longer wanted. */
+  /** Removes a request that is no longer needed. */
   remove(id: string): T | undefined
-  /** Requests that wait, by rank. */
+  /** Returns the number of waiting requests by rank. */
   countByRank(): Map<number, number>
-  /** The requests that wait, in order of arrival. */
+  /** Returns the waiting requests in order of arrival. */
   requests(): Iterable<T>
 }
 
@@ -53,13 +53,14 @@
     return a.deadlineAtMs < b.deadlineAtMs
   }
 
-  // The latest arrival of the customer that claims most goes first.
+  // Within a rank, the last request of the customer with the largest share,
+  // waiting requests included, is shed first.
   function isShedBefore(a: T, b: T, nowMs: number): boolean {
     if (a.rank !== b.rank) return a.rank > b.rank
-    const claimed =
-      shares.claimedShare(a.customer, a.weight, nowMs) -
-      shares.claimedShare(b.customer, b.weight, nowMs)
-    if (claimed !== 0) return claimed > 0
+    const share =
+      shares.shareWithWaiting(a.customer, a.weight, nowMs) -
+      shares.shareWithWaiting(b.customer, b.weight, nowMs)
+    if (share !== 0) return share > 0
     return a.enqueuedAtMs >= b.enqueuedAtMs
   }
 
@@ -67,51 +68,52 @@
     const request = waiting.get(id)
     if (!request) return undefined
     waiting.delete(id)
-    shares.leave(request.customer)
+    shares.removeWaiting(request.customer)
     return request
   }
 
-  function findVictim(nowMs: number): T | undefined {
-    let victim: T | undefined
+  function findShedCandidate(nowMs: number): T | undefined {
+    let candidate: T | undefined
     for (const request of waiting.values())
-      if (!victim || isShedBefore(request, victim, nowMs)) victim = request
-    return victim
+      if (!candidate || isShedBefore(request, candidate, nowMs))
+        candidate = request
+    return candidate
   }
 
-  function offer(request: T): T[] {
+  function enqueue(request: T): T[] {
     waiting.set(request.id, request)
-    shares.join(request.customer)
+    shares.addWaiting(request.customer)
     const shed: T[] = []
     const capacity = options.capacity()
     while (waiting.size > capacity) {
-      const victim = findVictim(request.enqueuedAtMs)
-      if (!victim) break
-      remove(victim.id)
-      shed.push(victim)
+      const candidate = findShedCandidate(request.enqueuedAtMs)
+      if (!candidate) break
+      remove(candidate.id)
+      shed.push(candidate)
     }
     return shed
   }
 
-  function takeOut(next: T | undefined, nowMs: number): T | undefined {
+  function removeAndCharge(next: T | undefined, nowMs: number): T | undefined {
     if (!next) return undefined
     shares.charge(next.customer, nowMs)
     return remove(next.id)
   }
 
-  function take(nowMs: number): T | undefined {
+  function dequeue(nowMs: number): T | undefined {
     let next: T | undefined
     for (const request of waiting.values())
       if (!next || runsBefore(request, next, nowMs)) next = request
-    return takeOut(next, nowMs)
+    return removeAndCharge(next, nowMs)
   }
 
-  function takeUrgent(nowMs: number): T | undefined {
+  function dequeueUrgent(nowMs: number): T | undefined {
     let next: T | undefined
     for (const request of waiting.values()) {
       if (request.rank !== URGENT_RANK) continue
       if (!next || runsBefore(request, next, nowMs)) next = request
     }
-    return takeOut(next, nowMs)
+    return removeAndCharge(next, nowMs)
   }
 
   function countByRank(): Map<number, number> {
@@ -122,9 +124,9 @@
   }
 
   return {
-    enqueue: offer,
-    dequeue: take,
-    dequeueUrgent: takeUrgent,
+    enqueue,
+    dequeue,
+    dequeueUrgent,
     remove,
     countByRank,
     requests: () => waiting.values(),
--- a/packages/core/src/node/admission/createWeightedShares.ts
+++ b/packages/core/src/node/admission/createWeightedShares.ts
@@ -1,19 +1,19 @@
 /**
- * Service that customers got of late, divided by their weights. Service is
- * forgotten with a half-life, so a customer within its share goes first and a
- * customer that was away saves up no more than the recent past.
+ * Recent service of each customer divided by its weight. Service decays with a
+ * half-life, so a customer below its share goes first, but one that was idle
+ * catches up on the recent past only.
  */
 export interface WeightedShares {
-  /** Counts a request that waits. */
-  join(customer: string): void
-  /** Counts a request that no longer waits out. */
-  leave(customer: string): void
-  /** Charges one request that starts. */
+  /** Counts a waiting request. */
+  addWaiting(customer: string): void
+  /** Removes a request that no longer waits from the count. */
+  removeWaiting(customer: string): void
+  /** Charges a customer for one started request. */
   charge(customer: string, nowMs: number): void
-  /** Recent service by weight; the customer with the least is next. */
+  /** Returns recent service by weight; the lowest share is served next. */
   share(customer: string, weight: number, nowMs: number): number
-  /** The same if all waiting requests of the customer had been served too. */
-  claimedShare(customer: string, weight: number, nowMs: number): number
+  /** Returns the share as if the customer's waiting requests had been served. */
+  shareWithWaiting(customer: string, weight: number, nowMs: number): number
 }
 
 interface Usage {
@@ -21,10 +21,10 @@
   atMs: number
 }
 
-/** Service below which a customer is forgotten. */
-const FORGOTTEN = 1e-6
+/** Decayed service, in requests, below which a customer is removed. */
+const MIN_SERVICE = 1e-6
 
-/** Creates shares in which every customer starts equal. */
+/** Creates shares in which every customer starts at zero. */
 export function createWeightedShares(halfLifeMs: number): WeightedShares {
   const usages = new Map<string, Usage>()
   const waiting = new Map<string, number>()
@@ -37,14 +37,14 @@
 
   return {
     share: (customer, weight, nowMs) => service(customer, nowMs) / weight,
-    claimedShare(customer, weight, nowMs) {
-      const claimed = waiting.get(customer) ?? 0
-      return (service(customer, nowMs) + claimed) / weight
+    shareWithWaiting(customer, weight, nowMs) {
+      const count = waiting.get(customer) ?? 0
+      return (service(customer, nowMs) + count) / weight
     },
-    join(customer) {
+    addWaiting(customer) {
       waiting.set(customer, (waiting.get(customer) ?? 0) + 1)
     },
-    leave(customer) {
+    removeWaiting(customer) {
       const count = waiting.get(customer) ?? 0
       if (count > 1) waiting.set(customer, count - 1)
       else waiting.delete(customer)
@@ -53,7 +53,7 @@
       const total = service(customer, nowMs) + 1
       usages.set(customer, { service: total, atMs: nowMs })
       for (const id of usages.keys())
-        if (service(id, nowMs) < FORGOTTEN) usages.delete(id)
+        if (service(id, nowMs) < MIN_SERVICE) usages.delete(id)
     },
   }
 }
--- a/packages/core/src/node/admission/effectiveRank.ts
+++ b/packages/core/src/node/admission/effectiveRank.ts
@@ -1,8 +1,8 @@
 import type { WaitingRequest } from './waitingRequest.js'
 
 /**
- * Returns the rank after ageing: one better for each whole `ageingMs` waited.
- * It may fall below 0, so that no stream of urgent requests starves a request.
+ * Returns the rank after ageing: one lower for each whole `ageingMs` waited. It
+ * may fall below 0, so that a stream of urgent requests starves no request.
  */
 export function effectiveRank(
   request: Pick<WaitingRequest, 'rank' | 'enqueuedAtMs'>,
--- a/packages/core/src/node/admission/queueCapacity.ts
+++ b/packages/core/src/node/admission/queueCapacity.ts
@@ -1,18 +1,18 @@
-/** What the length of a queue is bounded by. */
+/** Options for {@link queueCapacity}. */
 export interface QueueCapacityOptions {
-  /** Requests that run at once. */
+  /** Requests that may run at once. */
   readonly concurrency: number
-  /** Mean time that a request runs, in milliseconds; undefined at first. */
+  /** Mean run time of a request in milliseconds; undefined if unknown. */
   readonly meanRunMs: number | undefined
-  /** Longest time that working off the queue may take, in milliseconds. */
+  /** Longest time in which the queue drains, in milliseconds. */
   readonly drainMs: number
-  /** Requests that wait at most in any case. */
+  /** Upper limit of the capacity, also used while the run time is unknown. */
   readonly maxWaiting: number
 }
 
 /**
- * Returns how many requests may wait so that the queue is worked off within
- * `drainMs` (Little's law).
+ * Returns how many requests may wait so that the queue drains within `drainMs`
+ * (Little's law).
  */
 export function queueCapacity(options: QueueCapacityOptions): number {
   const { concurrency, meanRunMs, drainMs, maxWaiting } = options
--- a/packages/core/src/node/admission/waitingRequest.ts
+++ b/packages/core/src/node/admission/waitingRequest.ts
@@ -1,13 +1,13 @@
-/** What the order of a queue looks at. */
+/** Properties of a request that decide its position in a queue. */
 export interface WaitingRequest {
   readonly id: string
   /** 0 is the most urgent. */
   readonly rank: number
   readonly customer: string
-  /** Share of the customer relative to the others. */
+  /** Share of the customer relative to other customers. */
   readonly weight: number
   /** Milliseconds of the monotonic clock. */
   readonly enqueuedAtMs: number
-  /** Milliseconds of the monotonic clock until the request is of use. */
+  /** Deadline in milliseconds of the monotonic clock. */
   readonly deadlineAtMs: number
 }
