--- a/packages/core/src/node/limits/__tests__/createRateWindow.test.ts
+++ b/packages/core/src/node/limits/__tests__/createRateWindow.test.ts
@@ -6,7 +6,7 @@
 const pauses = fc.array(fc.nat(400), { maxLength: 200 })
 
 describe('createRateWindow', () => {
-  it('counts no fewer than a list of all events, and at most a tenth of the window more', () => {
+  it('counts no fewer events than occurred, and at most a tenth of the window more', () => {
     const property = fc.property(pauses, (list) => {
       const window = createRateWindow(1_000)
       const events: number[] = []
@@ -24,7 +24,7 @@
     fc.assert(property, { seed: 54 })
   })
 
-  it('is empty after the time that it names', () => {
+  it('is empty after the time that nextFreeMs returns', () => {
     const window = createRateWindow(1_000)
     window.add(1_234)
     const freeMs = window.nextFreeMs(1_300)
@@ -34,7 +34,7 @@
 })
 
 describe('rateLimit', () => {
-  it('keeps the rate with a whole count and a window of a second or more', () => {
+  it('keeps the rate with an integer count and a window of at least 1 s', () => {
     for (const rate of [0.25, 0.5, 1, 2.5, 7, 1_000.5]) {
       const { count, windowMs } = toRateLimit(rate)
       assert.ok(Number.isInteger(count))
--- a/packages/core/src/node/limits/__tests__/fleetAllowance.test.ts
+++ b/packages/core/src/node/limits/__tests__/fleetAllowance.test.ts
@@ -27,7 +27,7 @@
 }
 
 describe('createFleetShares', () => {
-  it('adds up to the limit, no share more than one above another', () => {
+  it('creates shares that add up to the limit and differ by at most one', () => {
     const property = fc.property(
       fc.nat(200),
       fc.integer({ min: 1, max: 40 }),
@@ -45,13 +45,13 @@
     fc.assert(property, { seed: 51 })
   })
 
-  it('gives nothing to a router that is not in the list', () => {
-    assert.equal(createFleetShares(10, 'key', ['a', 'b'])('stranger'), 0)
+  it('returns 0 for a router that is not in the list', () => {
+    assert.equal(createFleetShares(10, 'key', ['a', 'b'])('unlisted'), 0)
   })
 })
 
 describe('fleetAllowance', () => {
-  it('is what fresh peers leave over', () => {
+  it('is the part of the limit that fresh peers do not use', () => {
     const allowance = allowanceOf(10, routersOf(3), 'router-0', () => ({
       used: 3,
       ageMs: 100,
@@ -59,7 +59,7 @@
     assert.equal(allowance, 4)
   })
 
-  it('adds up to the limit when no router hears another', () => {
+  it('adds up to the limit if no router receives digests', () => {
     const property = fc.property(
       fc.nat(60),
       fc.integer({ min: 1, max: 12 }),
@@ -77,7 +77,7 @@
     fc.assert(property, { seed: 52 })
   })
 
-  it('keeps the fleet within the limit when digests are cut under way', () => {
+  it('keeps the fleet within the limit if digests stop while requests run', () => {
     const property = fc.property(
       fc.integer({ min: 1, max: 40 }),
       fc.array(fc.nat(6), { minLength: 2, maxLength: 9 }),
@@ -104,13 +104,13 @@
     fc.assert(property, { seed: 53 })
   })
 
-  it('keeps the two halves of a parted fleet within the limit', () => {
+  it('keeps both halves of a partitioned fleet within the limit', () => {
     const routers = routersOf(6)
     const inHalf = (router: string, half: number) =>
       routers.indexOf(router) % 2 === half
     let sum = 0
     for (const half of [0, 1]) {
-      // Peers of the same half report no use; the other half is not heard.
+      // Peers in the same half report no use; the other half sends no digests.
       const self = routers.find((router) => inHalf(router, half)) ?? ''
       sum += allowanceOf(13, routers, self, (router) => ({
         used: 0,
@@ -120,7 +120,7 @@
     assert.equal(sum, 13)
   })
 
-  it('divides a limit as the routers are asked for it', () => {
+  it('divides a limit in proportion to the requests at each router', () => {
     const property = fc.property(
       fc.nat(60),
       fc.array(fc.integer({ min: 1, max: 50 }), { minLength: 1, maxLength: 9 }),
@@ -143,7 +143,8 @@
             staleMs: STALE_MS,
             holdMs: HOLD_MS,
           })
-          // Below the limit nobody is refused; above it, parts are whole.
+          // At or below the limit no request is rejected. Above it, each part
+          // is rounded up.
           if (total <= limit) assert.ok(allowance >= own)
           else assert.ok(allowance < (limit * own) / total + 1)
         }
--- a/packages/core/src/node/limits/createFleetShares.ts
+++ b/packages/core/src/node/limits/createFleetShares.ts
@@ -1,7 +1,7 @@
 import { hash32 } from '../hash/hash32.js'
 
-/** Returns the routers that get one more than the others. */
-function findExtra(
+/** Returns the routers whose share is one larger. */
+function selectLargerShares(
   remainder: number,
   key: string,
   routers: readonly string[],
@@ -14,8 +14,8 @@
 }
 
 /**
- * Divides a limit into whole shares that add up to it. A remainder goes to
- * routers that the limit's key selects. A router not in the list gets none.
+ * Divides a limit into integer shares that add up to it. The remainder goes to
+ * the routers selected by a hash of `key`. An unlisted router's share is 0.
  */
 export function createFleetShares(
   limit: number,
@@ -24,9 +24,13 @@
 ): (router: string) => number {
   const share = Math.floor(limit / routers.length)
   const known = new Set(routers)
-  const extra = findExtra(limit - share * routers.length, key, routers)
+  const larger = selectLargerShares(
+    limit - share * routers.length,
+    key,
+    routers,
+  )
   return (router) => {
     if (!known.has(router)) return 0
-    return extra.has(router) ? share + 1 : share
+    return larger.has(router) ? share + 1 : share
   }
 }
--- a/packages/core/src/node/limits/createRetryBudget.ts
+++ b/packages/core/src/node/limits/createRetryBudget.ts
@@ -1,24 +1,24 @@
-/** How many retries a service gets. */
+/** Options for {@link createRetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries for each first try. */
+  /** Retries earned by each first attempt. */
   readonly ratio: number
-  /** Retries that unused first tries save up at most. */
+  /** Maximum number of earned retries that accumulate. */
   readonly burst: number
-  /** Retries allowed before first tries have earned any. */
+  /** Retries allowed before any are earned. */
   readonly reserve: number
 }
 
-/** Keeps retries within a ratio of first tries. */
+/** Limits retries to a ratio of first attempts. */
 export interface RetryBudget {
   recordFirstAttempt(): void
-  /** Takes one retry out; false when the budget is spent. */
+  /** Consumes one retry; returns false if the budget is exhausted. */
   consumeRetry(): boolean
 }
 
 /**
- * Creates a token bucket that first tries fill. Retries from the reserve are
- * paid back, so retries never exceed the larger of reserve and ratio x first
- * tries.
+ * Creates a token bucket that is filled by first attempts. Retries from the
+ * reserve are repaid from earned tokens, so retries never exceed the larger of
+ * `reserve` and `ratio` x first attempts.
  */
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
   const { ratio, burst, reserve } = options
@@ -31,7 +31,7 @@
     consumeRetry() {
       if (tokens >= 1) {
         tokens -= 1
-        // A retry that was earned leaves that much less to the reserve.
+        // An earned retry reduces the reserve as well.
         reserveLeft = Math.max(0, reserveLeft - 1)
         return true
       }
--- a/packages/core/src/node/limits/fleetAllowance.ts
+++ b/packages/core/src/node/limits/fleetAllowance.ts
@@ -1,60 +1,62 @@
 import { createFleetShares } from './createFleetShares.js'
 
-/** What a router knows of a peer's use of a limit. */
+/** A peer's use of a limit according to its last digest. */
 export interface PeerUsage {
   readonly router: string
-  /** Use in the peer's last digest; 0 when none was ever heard. */
+  /** Use in the peer's last digest; 0 if none was received. */
   readonly used: number
-  /** Requests that came to the peer, refused ones included. @default 0 */
+  /** Requests that arrived at the peer, rejected ones included. @default 0 */
   readonly asked?: number
-  /** Milliseconds since that digest; infinite when none was ever heard. */
+  /** Age of that digest in milliseconds; infinite if none was received. */
   readonly ageMs: number
 }
 
-/** A limit on the whole fleet as one router sees it. */
+/** State of a fleet-wide limit on one router. */
 export interface FleetLimit {
   readonly limit: number
-  /** Name of the limit; selects who gets the remainder of the shares. */
+  /** Name of the limit; selects the routers that get the remainder. */
   readonly key: string
   readonly router: string
   /**
-   * Requests that came to this router, refused ones included. When given, the
-   * routers divide the limit as they are asked for it.
+   * Requests that arrived at this router, rejected ones included. If given, the
+   * limit is divided in proportion to the requests at each router.
    */
   readonly asked?: number
-  /** The other routers of the VM list, and those heard of lately. */
+  /** Other routers in the VM list, and those with a recent digest. */
   readonly peers: readonly PeerUsage[]
-  /** Milliseconds after which a digest is no longer trusted. */
+  /** Age in milliseconds above which a digest is stale. */
   readonly staleMs: number
-  /** Milliseconds until the use in a stale digest has surely ended. */
+  /** Age in milliseconds above which the use in a digest has ended. */
   readonly holdMs: number
 }
 
 /**
- * Returns what this router may use of a limit. A peer with a fresh digest
- * counts with its use. A silent peer counts with its share, or with more while
- * the larger use that it last told of may go on. With every digest cut, the
- * allowance is the router's own share, so the sum never passes the limit.
+ * Returns how much of a limit this router may use. A peer with a fresh digest
+ * counts with its use. A peer with a stale digest counts with its share, or with
+ * its last reported use if that is larger and may still be in progress. Without
+ * any fresh digest the allowance is at most the router's own share, so the sum over the
+ * routers never exceeds the limit.
  */
 export function fleetAllowance(state: FleetLimit): number {
   const { limit, key, router, peers, staleMs, holdMs } = state
   const routers = [router, ...peers.map((peer) => peer.router)]
   let shares: ((router: string) => number) | undefined
   let usedByOthers = 0
-  let askedOfOthers = 0
-  let divided = limit
+  let askedAtOthers = 0
+  // Part of the limit that the routers with fresh digests divide.
+  let divisible = limit
   for (const peer of peers) {
     if (peer.ageMs <= staleMs) {
       usedByOthers += peer.used
-      askedOfOthers += peer.asked ?? 0
+      askedAtOthers += peer.asked ?? 0
       continue
     }
     shares ??= createFleetShares(limit, key, routers)
-    const held = peer.ageMs <= holdMs ? peer.used : 0
-    divided -= Math.max(shares(peer.router), held)
+    const inProgress = peer.ageMs <= holdMs ? peer.used : 0
+    divisible -= Math.max(shares(peer.router), inProgress)
   }
-  const left = Math.max(0, divided - usedByOthers)
+  const left = Math.max(0, divisible - usedByOthers)
   if (!state.asked) return left
-  const part = (divided * state.asked) / (state.asked + askedOfOthers)
-  return Math.min(left, Math.max(0, Math.ceil(part)))
+  const proportion = (divisible * state.asked) / (state.asked + askedAtOthers)
+  return Math.min(left, Math.max(0, Math.ceil(proportion)))
 }
--- a/packages/core/src/node/limits/mayRetry.ts
+++ b/packages/core/src/node/limits/mayRetry.ts
@@ -1,14 +1,14 @@
 import { Verdict } from '../verdict/verdict.js'
 
-/** What decides whether a request may be sent once more. */
+/** Outcome of the last attempt of a request. */
 export interface RetryQuery {
   readonly verdict: Verdict
   readonly idempotent: boolean
-  /** Whether the caller has gone away. */
+  /** Whether the caller has disconnected. */
   readonly abandoned: boolean
 }
 
-/** Returns whether a repeat cannot make a non-idempotent request run twice. */
+/** Returns whether a retry cannot run a non-idempotent request twice. */
 export function mayRetry(query: RetryQuery): boolean {
   if (query.abandoned) return false
   if (query.verdict === Verdict.NotRun) return true
