--- a/packages/core/src/node/affinity/__tests__/affinityHint.test.ts
+++ b/packages/core/src/node/affinity/__tests__/affinityHint.test.ts
@@ -10,8 +10,8 @@
 })
 const targetArbitrary = fc.stringMatching(/^[a-z0-9][a-z0-9.-]{0,62}$/)
 
-describe('the affinity hint', () => {
-  it('is read back by its owner alone', () => {
+describe('affinity hint', () => {
+  it('is valid for its owner and secret only', () => {
     const property = fc.property(
       ownerArbitrary,
       ownerArbitrary,
@@ -27,7 +27,7 @@
     fc.assert(property, { seed: 11 })
   })
 
-  it('refuses any changed text', () => {
+  it('is invalid after any change of its text', () => {
     const owner = { customer: 'c', service: 's', chat: 'x' }
     const hint = signHint('secret', owner, 'engine-1')
     const property = fc.property(fc.string(), (text) => {
--- a/packages/core/src/node/affinity/__tests__/createHintIndex.test.ts
+++ b/packages/core/src/node/affinity/__tests__/createHintIndex.test.ts
@@ -11,7 +11,7 @@
   lost: fc.boolean(),
 })
 
-/** Replays the events that arrived and forgets a target at each gap. */
+/** Reference index: replays received events and clears a target at each gap. */
 function createNaiveIndex() {
   const targetOf = new Map<string, string>()
   const next = new Map<string, number>()
@@ -28,8 +28,8 @@
   }
 }
 
-describe('the hint index', () => {
-  it('agrees with a naive replay over late events with gaps', () => {
+describe('createHintIndex', () => {
+  it('behaves like a naive replay of events with gaps', () => {
     const property = fc.property(fc.array(stepArbitrary), (steps) => {
       const index = createHintIndex(100)
       const naive = createNaiveIndex()
--- a/packages/core/src/node/affinity/affinityHint.ts
+++ b/packages/core/src/node/affinity/affinityHint.ts
@@ -1,9 +1,11 @@
 import { createHmac, timingSafeEqual } from 'node:crypto'
 
+/** Length of the truncated HMAC-SHA256. */
 const MAC_BYTES = 16
+/** Longest hint in characters that is parsed. */
 const MAX_HINT_CHARS = 256
 
-/** What a hint is bound to. */
+/** The chat that a hint is valid for. */
 export interface HintOwner {
   readonly customer: string
   readonly service: string
@@ -17,7 +19,7 @@
   return mac.subarray(0, MAC_BYTES)
 }
 
-/** Signs a hint that names the target which holds the owner's chat. */
+/** Creates a signed hint to the target that holds the owner's chat. */
 export function signHint(
   secret: string,
   owner: HintOwner,
@@ -27,7 +29,7 @@
   return `${Buffer.from(targetId).toString('base64url')}.${mac}`
 }
 
-/** Returns the target a hint names, if the hint is genuine and the owner's own. */
+/** Returns the target of a hint, or undefined if its MAC doesn't match the owner. */
 export function verifyHint(
   secret: string,
   owner: HintOwner,
--- a/packages/core/src/node/affinity/cacheEvent.ts
+++ b/packages/core/src/node/affinity/cacheEvent.ts
@@ -6,9 +6,9 @@
   Evicted = 'evicted',
 }
 
-/** Checks one event of a target's prompt cache. */
+/** Schema of a {@link CacheEvent}. */
 export const cacheEventSchema = z.object({
-  /** Counts up by one; a jump is a gap. */
+  /** Increases by one; a jump means that events were lost. */
   sequence: z.int().min(0),
   kind: z.enum(CacheEventKind),
   chat: z.string(),
--- a/packages/core/src/node/affinity/createHintIndex.ts
+++ b/packages/core/src/node/affinity/createHintIndex.ts
@@ -2,66 +2,71 @@
 import { hash32 } from '../hash/hash32.js'
 import { type CacheEvent, CacheEventKind } from './cacheEvent.js'
 
-/** Remembers which target holds a chat, from the targets' cache events. */
+/** Index of the target that caches each chat, built from cache events. */
 export interface HintIndex {
-  /** Next sequence number wanted from a target. */
+  /** Returns the next expected sequence number of a target. */
   nextSequence(targetId: string): number
-  /** Takes in events in order; a gap clears what was known of the target. */
+  /** Applies events in order; a gap invalidates all entries of the target. */
   apply(targetId: string, events: readonly CacheEvent[]): void
-  /** Target that holds the chat, as far as the events tell. */
+  /** Returns the target that caches the chat according to the events. */
   targetOf(chat: string): string | undefined
+  /** Number of indexed chats, invalidated ones included. */
   readonly size: number
 }
 
-interface TargetLog {
-  next: number
-  /** Entries of an older generation are void. */
+interface TargetProgress {
+  nextSequence: number
+  /** Entries of an older generation are invalid. */
   generation: number
 }
 
-interface Held {
+interface HintEntry {
   readonly targetId: string
   readonly generation: number
 }
 
 /** Creates an index of at most `maxChats` chats. */
 export function createHintIndex(maxChats: number): HintIndex {
-  const held = new LRUCache<number, Held>({ max: maxChats })
-  const logs = new Map<string, TargetLog>()
+  const entries = new LRUCache<number, HintEntry>({ max: maxChats })
+  const progressByTarget = new Map<string, TargetProgress>()
 
-  function logOf(targetId: string): TargetLog {
-    const known = logs.get(targetId)
+  function progressOf(targetId: string): TargetProgress {
+    const known = progressByTarget.get(targetId)
     if (known) return known
-    const created = { next: 0, generation: 0 }
-    logs.set(targetId, created)
+    const created = { nextSequence: 0, generation: 0 }
+    progressByTarget.set(targetId, created)
     return created
   }
 
-  function applyOne(targetId: string, log: TargetLog, event: CacheEvent): void {
-    if (event.sequence < log.next) return
-    if (event.sequence > log.next) log.generation += 1
-    log.next = event.sequence + 1
+  function applyOne(
+    targetId: string,
+    progress: TargetProgress,
+    event: CacheEvent,
+  ): void {
+    if (event.sequence < progress.nextSequence) return
+    if (event.sequence > progress.nextSequence) progress.generation += 1
+    progress.nextSequence = event.sequence + 1
     const key = hash32(event.chat)
     if (event.kind === CacheEventKind.Stored)
-      held.set(key, { targetId, generation: log.generation })
-    else if (held.peek(key)?.targetId === targetId) held.delete(key)
+      entries.set(key, { targetId, generation: progress.generation })
+    else if (entries.peek(key)?.targetId === targetId) entries.delete(key)
   }
 
   return {
-    nextSequence: (targetId) => logOf(targetId).next,
+    nextSequence: (targetId) => progressOf(targetId).nextSequence,
     apply(targetId, events) {
-      const log = logOf(targetId)
-      for (const event of events) applyOne(targetId, log, event)
+      const progress = progressOf(targetId)
+      for (const event of events) applyOne(targetId, progress, event)
     },
     targetOf(chat) {
-      const found = held.get(hash32(chat))
-      if (!found) return undefined
-      return logOf(found.targetId).generation === found.generation
-        ? found.targetId
+      const entry = entries.get(hash32(chat))
+      if (!entry) return undefined
+      return progressOf(entry.targetId).generation === entry.generation
+        ? entry.targetId
         : undefined
     },
     get size() {
-      return held.size
+      return entries.size
     },
   }
 }
--- a/packages/core/src/node/health/__tests__/createServiceHealth.test.ts
+++ b/packages/core/src/node/health/__tests__/createServiceHealth.test.ts
@@ -29,7 +29,7 @@
 }
 
 describe('createServiceHealth', () => {
-  it('ejects after failures in a row, not after a success between', () => {
+  it('ejects after consecutive failures, and restarts the count at a success', () => {
     const { health, fail } = setUp()
     fail('a', 0, 2)
     health.recordOutcome('a', Success, 0)
@@ -54,7 +54,7 @@
     assert.ok(health.isEligible('a', false, 110))
   })
 
-  it('asks again when the probe told nothing', () => {
+  it('probes again if the outcome of the probe is unknown', () => {
     const { health, fail } = setUp()
     fail('a', 0)
     health.recordStart('a', 100)
@@ -62,7 +62,7 @@
     assert.ok(health.isEligible('a', true, 120))
   })
 
-  it('is not closed by the answer to a request from before the ejection', () => {
+  it('does not close the circuit for a request sent before the ejection', () => {
     const { health, fail } = setUp()
     fail('a', 0)
     health.recordStart('a', 140)
@@ -70,7 +70,7 @@
     assert.equal(health.circuit('a', 150), CircuitState.HalfOpen)
   })
 
-  it('doubles the hold-down up to its limit, and forgets after long health', () => {
+  it('doubles the hold-down up to its limit, and resets it after long health', () => {
     const { health, fail } = setUp()
     const holds: number[] = []
     let nowMs = 0
@@ -105,7 +105,7 @@
     assert.ok(health.isEligible('b', true, 60))
   })
 
-  it('keeps targets that are all full, and ejects one that refuses alone', () => {
+  it('keeps targets that are all full, and ejects one that alone refuses requests', () => {
     const full = setUp().health
     const changes = new Set<HealthChange>()
     for (let index = 0; index < 100; index += 1)
@@ -115,14 +115,14 @@
         )
     assert.deepEqual([...changes], [HealthChange.None])
     const { health } = setUp()
-    // The peers' outcomes are judged once there are enough of them.
+    // Success rates are compared once there are enough outcomes.
     for (let index = 0; index <= OPTIONS.rateOutcomes; index += 1)
       for (const target of TARGETS)
         health.recordOutcome(target, target === 'a' ? Refused : Success, index)
     assert.ok(!health.isEligible('a', true, OPTIONS.rateOutcomes))
   })
 
-  it('keeps targets that fail together, beyond the share', () => {
+  it('does not eject more than the share if all targets fail together', () => {
     const { fail } = setUp()
     const changes = TARGETS.map((target) => fail(target, 0))
     const ejected = changes.filter((change) => change === HealthChange.Ejected)
@@ -131,9 +131,9 @@
     assert.equal(single.fail('only', 0, 20), HealthChange.None)
   })
 
-  it('never ejects more than the share, whatever happens', () => {
+  it('never ejects more than the share for any sequence of events', () => {
     const event = fc.record({
-      target: fc.constantFrom(...TARGETS, 'stranger'),
+      target: fc.constantFrom(...TARGETS, 'unlisted'),
       outcome: fc.constantFrom(Failure, Failure, Success, Refused, Unknown),
       pauseMs: fc.nat(60),
       idempotent: fc.boolean(),
@@ -145,14 +145,15 @@
         let nowMs = 0
         for (const { target, outcome, pauseMs, idempotent } of events) {
           nowMs += pauseMs
-          let probing = false
+          let isProbe = false
           if (health.isEligible(target, idempotent, nowMs)) {
-            const half = health.circuit(target, nowMs) === CircuitState.HalfOpen
-            assert.ok(!half || idempotent)
-            probing = health.recordStart(target, nowMs)
-            assert.ok(!half || !health.isEligible(target, true, nowMs))
+            const isHalfOpen =
+              health.circuit(target, nowMs) === CircuitState.HalfOpen
+            assert.ok(!isHalfOpen || idempotent)
+            isProbe = health.recordStart(target, nowMs)
+            assert.ok(!isHalfOpen || !health.isEligible(target, true, nowMs))
           }
-          health.recordOutcome(target, outcome, nowMs, probing)
+          health.recordOutcome(target, outcome, nowMs, isProbe)
           const ejected = TARGETS.filter(
             (id) => health.circuit(id, nowMs) !== CircuitState.Closed,
           )
@@ -163,7 +164,7 @@
     fc.assert(property, { seed: 61, numRuns: 300 })
   })
 
-  it('forgets targets that are gone', () => {
+  it('drops the state of removed targets', () => {
     const { health, fail } = setUp()
     fail('a', 0)
     health.setTargets(['b', 'c'])
--- a/packages/core/src/node/health/createServiceHealth.ts
+++ b/packages/core/src/node/health/createServiceHealth.ts
@@ -7,32 +7,33 @@
   type TargetState,
 } from './targetState.js'
 
-/** What the last event changed about a target. */
+/** Change of a target's circuit caused by an outcome. */
 export enum HealthChange {
   None = 'none',
   Ejected = 'ejected',
   Recovered = 'recovered',
 }
 
-/** Health of the targets of one service, from the outcomes of requests. */
+/** Passive health checks and outlier ejection for the targets of one service. */
 export interface ServiceHealth {
-  /** Whether a request may go to a target now. */
+  /** Whether a request may be sent to a target now. */
   isEligible(target: string, idempotent: boolean, nowMs: number): boolean
-  /** Notes that a request is sent; returns whether it is the probe. */
+  /** Records that a request is sent; returns whether it is the probe. */
   recordStart(target: string, nowMs: number): boolean
-  /** Notes how a request ended. */
+  /** Records the outcome of a request. */
   recordOutcome(
     target: string,
     outcome: TargetOutcome,
     nowMs: number,
     isProbe?: boolean,
   ): HealthChange
-  /** Sets the service's targets; others are forgotten. */
+  /** Sets the service's targets and drops the state of all others. */
   setTargets(targets: readonly string[]): void
+  /** Returns the circuit state of a target; closed if it is unknown. */
   circuit(target: string, nowMs: number): CircuitState
 }
 
-/** Creates health in which every target is eligible. */
+/** Creates health checks in which every target is eligible. */
 export function createServiceHealth(options: HealthOptions): ServiceHealth {
   const states = new Map<string, TargetState>()
 
@@ -55,29 +56,31 @@
   function open(state: TargetState, nowMs: number): void {
     const { baseHoldMs, maxHoldMs } = options
     const holdMs = Math.min(maxHoldMs, baseHoldMs * 2 ** state.ejections)
-    // Health for as long as the longest hold-down clears the record.
-    const forgiven =
+    // A circuit that stayed closed for longer than the longest hold-down starts
+    // over.
+    const isReset =
       state.circuit === CircuitState.Closed &&
       nowMs - state.closedAtMs > maxHoldMs
     state.circuit = CircuitState.Open
-    state.openUntilMs = nowMs + (forgiven ? baseHoldMs : holdMs)
-    state.ejections = forgiven ? 1 : state.ejections + 1
+    state.openUntilMs = nowMs + (isReset ? baseHoldMs : holdMs)
+    state.ejections = isReset ? 1 : state.ejections + 1
     state.probing = false
   }
 
   function close(state: TargetState, nowMs: number): void {
     state.circuit = CircuitState.Closed
     state.closedAtMs = nowMs
-    state.failuresInRow = 0
+    state.consecutiveFailures = 0
     state.outcomes = 0
     state.successRate = 1
   }
 
   function count(state: TargetState, outcome: TargetOutcome): void {
     const success = outcome === TargetOutcome.Success ? 1 : 0
-    if (success) state.failuresInRow = 0
-    // When all are full, all refuse; only refusing more than its peers counts.
-    if (outcome === TargetOutcome.Failure) state.failuresInRow += 1
+    if (success) state.consecutiveFailures = 0
+    // Full targets all refuse requests, so a refusal counts only towards the
+    // success rate, which is compared with that of the peers.
+    if (outcome === TargetOutcome.Failure) state.consecutiveFailures += 1
     state.outcomes += 1
     const weight = 1 / Math.min(state.outcomes, options.rateOutcomes)
     state.successRate += (success - state.successRate) * weight
@@ -123,7 +126,7 @@
     recordOutcome(target, outcome, nowMs, isProbe = false) {
       const state = states.get(target)
       if (!state) return HealthChange.None
-      // Work from before the ejection tells nothing of a recovery.
+      // Requests sent before the ejection are no evidence of a recovery.
       if (isOpen(state))
         return isProbe ? recordProbe(state, outcome, nowMs) : HealthChange.None
       if (outcome === TargetOutcome.Unknown) return HealthChange.None
--- a/packages/core/src/node/health/healthOptions.ts
+++ b/packages/core/src/node/health/healthOptions.ts
@@ -1,13 +1,14 @@
-/** When targets are ejected and for how long. */
+/** Options for createServiceHealth. */
 export interface HealthOptions {
-  /** Failures in a row that eject a target. */
+  /** Consecutive failures that eject a target. */
   readonly consecutiveFailures: number
-  /** Outcomes that a success rate is taken over, as a moving average. */
+  /** Outcomes covered by the moving average of the success rate. */
   readonly rateOutcomes: number
-  /** How far below the median of its service a success rate may fall. */
+  /** Largest gap between a success rate and the median of its peers. */
   readonly maxRateGap: number
-  /** Milliseconds of the first ejection; each further one is twice as long. */
+  /** Hold-down of the first ejection in milliseconds; doubles with each one. */
   readonly baseHoldMs: number
+  /** Longest hold-down in milliseconds. */
   readonly maxHoldMs: number
   /** Share of a service's targets that may be ejected at once. */
   readonly maxEjectedShare: number
--- a/packages/core/src/node/health/isOutlier.ts
+++ b/packages/core/src/node/health/isOutlier.ts
@@ -6,18 +6,21 @@
   return sorted[Math.floor(sorted.length / 2)]
 }
 
-/** Returns whether a target fails too often in a row or against its peers. */
+/**
+ * Returns whether a target has too many consecutive failures, or a success rate
+ * too far below the median of its peers.
+ */
 export function isOutlier(
   state: TargetState,
   peers: readonly TargetState[],
   options: HealthOptions,
 ): boolean {
-  if (state.failuresInRow >= options.consecutiveFailures) return true
+  if (state.consecutiveFailures >= options.consecutiveFailures) return true
   if (state.outcomes < options.rateOutcomes) return false
   const rates: number[] = []
   for (const peer of peers)
     if (peer.outcomes >= options.rateOutcomes) rates.push(peer.successRate)
-  const usual = median(rates)
-  if (usual === undefined) return false
-  return usual - state.successRate > options.maxRateGap
+  const medianRate = median(rates)
+  if (medianRate === undefined) return false
+  return medianRate - state.successRate > options.maxRateGap
 }
--- a/packages/core/src/node/health/targetOutcome.ts
+++ b/packages/core/src/node/health/targetOutcome.ts
@@ -1,9 +1,9 @@
-/** How a request to a target ended, as far as the target is to blame. */
+/** Outcome of a request to a target, as evidence of its health. */
 export enum TargetOutcome {
   Success = 'success',
   Failure = 'failure',
-  /** The target refused before running, as one that is full or leaving. */
+  /** The target refused the request before running it: it is full or draining. */
   Refused = 'refused',
-  /** The caller went away or a kept connection was to blame: no evidence. */
+  /** No evidence: the caller disconnected or a keep-alive connection failed. */
   Unknown = 'unknown',
 }
--- a/packages/core/src/node/health/targetState.ts
+++ b/packages/core/src/node/health/targetState.ts
@@ -1,33 +1,34 @@
-/** Whether a target takes work, as a circuit breaker. */
+/** State of the circuit breaker of a target. */
 export enum CircuitState {
   Closed = 'closed',
-  /** Ejected: no request goes there until the hold-down ends. */
+  /** Ejected: no request is sent until the hold-down ends. */
   Open = 'open',
   /** One live request probes whether the target has recovered. */
   HalfOpen = 'half-open',
 }
 
-/** What a router knows of a target's health. */
+/** Health of a target as seen by one router. */
 export interface TargetState {
   circuit: CircuitState
-  failuresInRow: number
+  consecutiveFailures: number
   /** Outcomes seen since the circuit closed. */
   outcomes: number
-  /** Moving average of outcomes, 1 is success. */
+  /** Moving average of the outcomes; 1 is success. */
   successRate: number
-  /** Ejections without a long time of health in between. */
+  /** Ejections since the circuit last stayed closed for long. */
   ejections: number
   /** Milliseconds of the monotonic clock until which the circuit is open. */
   openUntilMs: number
+  /** Milliseconds of the monotonic clock at which the circuit closed. */
   closedAtMs: number
   probing: boolean
 }
 
-/** Returns the state of a target of which nothing is known. */
+/** Creates the state of a target without outcomes. */
 export function createTargetState(): TargetState {
   return {
     circuit: CircuitState.Closed,
-    failuresInRow: 0,
+    consecutiveFailures: 0,
     outcomes: 0,
     successRate: 1,
     ejections: 0,
