--- a/packages/core/src/node/constants.ts
+++ b/packages/core/src/node/constants.ts
@@ -1,48 +1,48 @@
 /** Schema version of the records on the configuration stream. */
 export const CONFIGURATION_SCHEMA = 1
-/** Load a target may reach, as a multiple of the mean load. */
+/** Maximum load of a target, as a multiple of the mean load. */
 export const DEFAULT_MAX_LOAD_FACTOR = 1.25
-/** Rank of a request that no rule names. */
+/** Rank of a request that matches no rule. */
 export const DEFAULT_RANK = 5
-/** Stream of the log service that carries configuration patches. */
+/** Log service stream of configuration patches. */
 export const CONFIGURATION_STREAM = 'configuration'
 
-/** Request header: the chat that a request belongs to. */
+/** Request header: chat that the request belongs to. */
 export const CHAT_HEADER = 'x-auburnbay-chat'
-/** Request header: the kind of a request, which rules rank. */
+/** Request header: kind of the request, for which rules set the rank. */
 export const REQUEST_KIND_HEADER = 'x-auburnbay-kind'
 /** Request header: `false` marks a request that must not run twice. */
 export const IDEMPOTENT_HEADER = 'x-auburnbay-idempotent'
-/** Request header: milliseconds until the answer is of no use. */
+/** Request header: milliseconds until the response is no longer needed. */
 export const DEADLINE_HEADER = 'x-auburnbay-deadline-ms'
-/** Request and response header: the signed affinity hint. */
+/** Request and response header: signed affinity hint. */
 export const HINT_HEADER = 'x-auburnbay-hint'
-/** Response header: whether the request may have run. */
+/** Response header: whether the request ran, may have run or did not run. */
 export const VERDICT_HEADER = 'x-auburnbay-verdict'
-/** Response header: the target that served the request. */
+/** Response header: target that served the request. */
 export const TARGET_HEADER = 'x-auburnbay-target'
-/** Response header: `hit` or `miss` of the target's prompt cache. */
+/** Response header: `hit` or `miss` in the target's prompt cache. */
 export const CACHE_HEADER = 'x-auburnbay-cache'
-/** Request header towards targets: identity that the target echoes. */
+/** Request header to targets: request id that the target returns. */
 export const REQUEST_ID_HEADER = 'x-request-id'
 
-/** Records after which a patch's outcome is forgotten. */
+/** Number of stream records for which the outcome of a patch is kept. */
 export const OUTCOME_WINDOW_RECORDS = 4096
-/** Stream of the log service that carries configuration snapshots. */
+/** Log service stream of configuration snapshots. */
 export const SNAPSHOT_STREAM = 'snapshots'
-/** Records after which the next configuration snapshot is written. */
+/** Number of records between two configuration snapshots. */
 export const SNAPSHOT_EVERY_RECORDS = 1000
-/** Milliseconds by which each further router waits for the one before it. */
+/** Milliseconds that a router waits for the one ranked before it. */
 export const SNAPSHOT_RANK_STEP_MS = 10_000
-/** Longest extra wait before a snapshot is written, in milliseconds. */
+/** Maximum jitter of the delay before a snapshot, in milliseconds. */
 export const SNAPSHOT_JITTER_MS = 2_000
-/** Routers of a data centre that read the configuration from the log. */
+/** Routers in a data centre that tail the configuration stream. */
 export const TAILERS_PER_DATA_CENTRE = 3
-/** Up to so many routers, every router exchanges heartbeats with all others. */
+/** Largest fleet in which every router sends heartbeats to all others. */
 export const FULL_MESH_ROUTERS = 16
-/** Routers that follow one router in the tree of a data centre. */
+/** Fan-out of the digest tree of a data centre. */
 export const DIGEST_FANOUT = 8
-/** Stream of the log service that carries leases. */
+/** Log service stream of leases. */
 export const LEASE_STREAM = 'leases'
-/** Name of the lease for sending orders to engines. */
+/** Name of the lease that is required to send orders to engines. */
 export const ORDER_LEASE = 'orders'
