--- a/packages/core/src/node/routing/createRouterUsageTable.ts
+++ b/packages/core/src/node/routing/createRouterUsageTable.ts
@@ -15,7 +15,7 @@
   readonly credits: number[]
 }
 
-/** Usage of all routers, with totals kept up to date on each change. */
+/** Usage of all routers; totals are updated on writes, not computed on reads. */
 export interface RouterUsageTable {
   get(router: string): RouterUsage | undefined
   routers(): string[]
@@ -55,18 +55,21 @@
 
   function decay(nowMs: number): void {
     const elapsedMs = nowMs - (decayedAtMs ?? nowMs)
-    const kept = Math.exp(-completionRate.perMs * elapsedMs)
+    const survival = Math.exp(-completionRate.perMs * elapsedMs)
     for (let index = 0; index < size; index += 1)
-      remaining[index] = (remaining[index] ?? 0) * kept
+      remaining[index] = (remaining[index] ?? 0) * survival
     decayedAtMs = nowMs
   }
 
-  function add(usage: RouterUsage, sign: number, kept: number): void {
+  function add(usage: RouterUsage, sign: number, survival: number): void {
     for (let index = 0; index < size; index += 1) {
       const inFlight = sign * (usage.inFlight[index] ?? 0)
       const credits = sign * (usage.credits[index] ?? 0)
       inFlightTotals[index] = (inFlightTotals[index] ?? 0) + inFlight
-      remaining[index] = Math.max(0, (remaining[index] ?? 0) + inFlight * kept)
+      remaining[index] = Math.max(
+        0,
+        (remaining[index] ?? 0) + inFlight * survival,
+      )
       creditTotals[index] = (creditTotals[index] ?? 0) + credits
       outstandingCredits += credits
     }
