--- a/packages/core/src/node/admission/__tests__/queueCapacity.test.ts
+++ b/packages/core/src/node/admission/__tests__/queueCapacity.test.ts
@@ -44,7 +44,7 @@
   })
 })
 
-describe('reservedPlaces', () => {
+describe('reservedSlots', () => {
   it('reserves none of a few slots and none of unlimited slots', () => {
     assert.equal(reservedSlots(10, 0.03), 0)
     assert.equal(reservedSlots(332, 0.03), 9)
--- a/packages/core/src/node/limits/__tests__/createRateWindow.test.ts
+++ b/packages/core/src/node/limits/__tests__/createRateWindow.test.ts
@@ -33,7 +33,7 @@
   })
 })
 
-describe('rateLimit', () => {
+describe('toRateLimit', () => {
   it('keeps the rate with an integer count and a window of at least 1 s', () => {
     for (const rate of [0.25, 0.5, 1, 2.5, 7, 1_000.5]) {
       const { count, windowMs } = toRateLimit(rate)
