--- a/packages/core/src/node/configuration/__tests__/applyConfigurationRecord.test.ts
+++ b/packages/core/src/node/configuration/__tests__/applyConfigurationRecord.test.ts
@@ -20,15 +20,15 @@
   let state = createConfigurationState()
   const outcomes: (PatchOutcomeKind | undefined)[] = []
   for (const [offset, record] of records.entries()) {
-    const step = applyConfigurationRecord(state, record, offset)
-    state = step.state
-    outcomes.push(step.outcome?.kind)
+    const result = applyConfigurationRecord(state, record, offset)
+    state = result.state
+    outcomes.push(result.outcome?.kind)
   }
   return { state, outcomes }
 }
 
 describe('applyConfigurationRecord', () => {
-  it('lets one of two racing patches win', () => {
+  it('applies the first of two patches with the same base version', () => {
     const { outcomes } = replay([patch('a', 0), patch('b', 0)])
     assert.deepEqual(outcomes, [
       PatchOutcomeKind.Applied,
@@ -36,19 +36,19 @@
     ])
   })
 
-  it('counts a patch id once', () => {
+  it('applies a patch id only once', () => {
     const { state, outcomes } = replay([patch('a', 0), patch('a', 1)])
     assert.equal(state.version, 1)
     assert.equal(outcomes[1], PatchOutcomeKind.Duplicate)
   })
 
-  it('refuses a patch that breaks the schema and keeps the version', () => {
+  it('rejects a patch that breaks the schema and keeps the version', () => {
     const { state, outcomes } = replay([patch('a', 0, 99)])
     assert.equal(state.version, 0)
     assert.equal(outcomes[0], PatchOutcomeKind.Invalid)
   })
 
-  const poisonous = [
+  const unsafeOperations = [
     { op: 'add', path: '/defaultRank/x', value: 1 },
     { op: 'add', path: 'no-slash', value: 1 },
     { op: 'move', path: '/customers/a' },
@@ -56,8 +56,8 @@
     { op: 'add', path: '/customers/__proto__', value: { weight: 1 } },
     { op: 'copy', from: '/customers/constructor', path: '/customers/a' },
   ]
-  for (const operation of poisonous) {
-    it(`refuses ${JSON.stringify(operation)} without failing`, () => {
+  for (const operation of unsafeOperations) {
+    it(`rejects ${JSON.stringify(operation)} without throwing`, () => {
       const record = { ...patch('a', 0), operations: [operation] }
       const { state, outcomes } = replay([record, patch('b', 0)])
       assert.equal(outcomes[0], PatchOutcomeKind.Invalid)
@@ -66,7 +66,7 @@
     })
   }
 
-  it('never lowers the version, whatever the log holds', () => {
+  it('never lowers the version, whatever records the log contains', () => {
     const record = fc.oneof(
       fc.anything(),
       fc
--- a/packages/core/src/node/configuration/__tests__/applyLogPage.test.ts
+++ b/packages/core/src/node/configuration/__tests__/applyLogPage.test.ts
@@ -44,7 +44,7 @@
 }
 
 describe('applyLogPage', () => {
-  it('keeps the version when the log is replaced, and says so', () => {
+  it('keeps the version and reports a replaced log', () => {
     const { state } = applyLogPage(readThree(), page([patch('x', 0)], 0, 'two'))
     assert.equal(state.version, 3)
     assert.equal(state.problem?.kind, ConfigurationProblemKind.LogReplaced)
@@ -53,36 +53,36 @@
     assert.equal(back.problem, undefined)
   })
 
-  it('keeps the version when the log lost its end, also once it grows again', () => {
-    const cut = applyLogPage(readThree(), page(three.slice(0, 2))).state
-    assert.equal(cut.version, 3)
-    assert.equal(cut.problem?.kind, ConfigurationProblemKind.LogShortened)
+  it('keeps the version when the log is truncated and then grows again', () => {
+    const truncated = applyLogPage(readThree(), page(three.slice(0, 2))).state
+    assert.equal(truncated.version, 3)
+    assert.equal(truncated.problem?.kind, ConfigurationProblemKind.LogShortened)
     const others = [...three.slice(0, 2), patch('x', 2), patch('y', 3)]
-    const grown = applyLogPage(cut, page(others)).state
+    const grown = applyLogPage(truncated, page(others)).state
     assert.equal(grown.version, 3)
     assert.equal(grown.problem?.kind, ConfigurationProblemKind.LogRewritten)
   })
 
-  it('notices a rewritten log between two reads', () => {
+  it('detects a log that was rewritten between two reads', () => {
     const others = [...three.slice(0, 2), patch('x', 2), patch('y', 3)]
     const { state } = applyLogPage(readThree(), page(others))
     assert.equal(state.version, 3)
     assert.equal(state.problem?.kind, ConfigurationProblemKind.LogRewritten)
   })
 
-  it('takes nothing from a page that skips the last record read', () => {
+  it('ignores a page without the last record read', () => {
     const records = [{ offset: 3, value: patch('d', 3) }]
     const next = { ...page(three), nextOffset: 4, records }
     assert.equal(applyLogPage(readThree(), next).state.version, 3)
   })
 
-  it('keeps the version when retention passed what it needs', () => {
+  it('keeps the version when retention removed the next record', () => {
     const { state } = applyLogPage(readThree(), page([patch('z', 9)], 9))
     assert.equal(state.version, 3)
     assert.equal(state.problem?.kind, ConfigurationProblemKind.RecordsMissing)
   })
 
-  it('stops before a record of a newer schema', () => {
+  it('stops before a record with a newer schema', () => {
     const newer = { type: 'schema', schema: CONFIGURATION_SCHEMA + 1 }
     const all = page([...three, newer, patch('d', 3)])
     const { state } = applyLogPage(createConfigurationState(), all)
@@ -91,23 +91,23 @@
     assert.equal(state.problem?.kind, ConfigurationProblemKind.NewerSchema)
   })
 
-  it('skips records that are no patches', () => {
+  it('skips records that are not patches', () => {
     const mixed = page([null, 'x', { type: 'other' }, patch('a', 0), 7])
     const { state } = applyLogPage(createConfigurationState(), mixed)
     assert.equal(state.version, 1)
     assert.equal(state.nextOffset, 5)
   })
 
-  it('forgets outcomes after the window, and applies no patch twice', () => {
+  it('drops outcomes outside the window without applying a patch twice', () => {
     const fill = Array.from({ length: OUTCOME_WINDOW_RECORDS }, () => null)
     const again = page([patch('a', 0), patch('b', 7), ...fill, patch('a', 0)])
-    const step = applyLogPage(createConfigurationState(), again)
-    assert.equal(step.state.version, 1)
-    assert.equal(step.state.outcomes.size, 1)
-    assert.equal(step.outcomes.at(-1)?.kind, PatchOutcomeKind.Conflict)
+    const result = applyLogPage(createConfigurationState(), again)
+    assert.equal(result.state.version, 1)
+    assert.equal(result.state.outcomes.size, 1)
+    assert.equal(result.outcomes.at(-1)?.kind, PatchOutcomeKind.Conflict)
   })
 
-  it('gives the same digest however the log is cut into pages', () => {
+  it('gives the same digest for every split of the log into pages', () => {
     const whole = readThree()
     let state = createConfigurationState()
     for (const length of [1, 2, 3])
--- a/packages/core/src/node/configuration/__tests__/patchConfiguration.test.ts
+++ b/packages/core/src/node/configuration/__tests__/patchConfiguration.test.ts
@@ -32,7 +32,7 @@
   { weight: 20, arbitrary: paths.map((p) => p.map((t) => `/${t}`).join('')) },
   { weight: 1, arbitrary: fc.constantFrom('targets', '/~0/~1', '/', '//') },
 )
-const soundOperations: fc.Arbitrary<JsonOperation> =
+const validOperations: fc.Arbitrary<JsonOperation> =
   fc.constantFrom<JsonOperation>(
     { op: 'add', path: '/customers/b', value: {} },
     { op: 'replace', path: '/customers/a/weight', value: 2 },
@@ -43,7 +43,7 @@
     { op: 'replace', path: '/defaultRank', value: 3 },
     { op: 'replace', path: '/rules', value: { b: { rank: 1 } } },
   )
-const wildOperations: fc.Arbitrary<JsonOperation> = fc.oneof(
+const randomOperations: fc.Arbitrary<JsonOperation> = fc.oneof(
   fc.record({
     op: fc.constantFrom('add' as const, 'replace' as const, 'test' as const),
     path: pointers,
@@ -56,14 +56,14 @@
     from: pointers,
   }),
 )
-const operations = fc.oneof(soundOperations, wildOperations)
+const operations = fc.oneof(validOperations, randomOperations)
 const patches = fc.array(fc.array(operations, { minLength: 1, maxLength: 3 }), {
   minLength: 1,
   maxLength: 12,
 })
 
-describe('patchTouched', () => {
-  it('decides every patch as a whole copy and a whole check do', () => {
+describe('patchConfiguration', () => {
+  it('gives the same result as patching and validating the whole document', () => {
     let applied = 0
     const property = fc.property(patches, (list) => {
       let whole = configurationSchema.parse({
@@ -85,7 +85,7 @@
     assert.ok(applied > 500, `only ${applied} patches applied`)
   })
 
-  it('leaves the configuration it started from as it was', () => {
+  it('does not modify its input', () => {
     const start = configurationSchema.parse({ customers: { a: {} } })
     const before = structuredClone(start)
     const patch = patchConfiguration(start, [
@@ -96,7 +96,7 @@
     assert.deepEqual(start, before)
   })
 
-  it('never reaches a prototype', () => {
+  it('rejects paths to a prototype', () => {
     const paths = [
       '/__proto__/polluted',
       '/customers/__proto__/polluted',
@@ -118,7 +118,7 @@
     )
   })
 
-  it('refuses operations that would throw', () => {
+  it('rejects operations on which rfc6902 would throw', () => {
     const patches: JsonOperation[][] = [
       [{ op: 'add', path: 'targets', value: {} }],
       [{ op: 'move', path: '/customers/b' }],
--- a/packages/core/src/node/configuration/applyLogPage.ts
+++ b/packages/core/src/node/configuration/applyLogPage.ts
@@ -1,73 +1,74 @@
 import {
   applyRecords,
-  type ConfigurationStep,
+  type ApplyRecordsResult,
   hashRecord,
   type ConfigurationLogRecord,
 } from './applyRecords.js'
 import { ConfigurationProblemKind } from './configurationProblem.js'
 import type { ConfigurationState } from './configurationState.js'
 
-/** Records of one read of the configuration stream. */
+/** One page of records read from the configuration stream. */
 export interface ConfigurationPage {
   readonly logId: string
-  /** Offset of the oldest record that the log keeps. */
+  /** Offset of the oldest retained record. */
   readonly firstOffset: number
-  /** Offset of the next append. */
+  /** Offset that the next appended record will get. */
   readonly nextOffset: number
   readonly records: readonly ConfigurationLogRecord[]
 }
 
 /**
- * Returns the offset to read from.
- *
- * The last record read is read again, to notice a log that was rewritten.
+ * Returns the offset to read from. The last applied record is read again, so
+ * that a rewritten log is detected.
  */
 export function nextReadOffset(state: ConfigurationState): number {
   return state.lastRecord?.offset ?? state.nextOffset
 }
 
-function keep(
+function keepVersion(
   state: ConfigurationState,
   kind: ConfigurationProblemKind,
   message: string,
-): ConfigurationStep {
+): ApplyRecordsResult {
   return { state: { ...state, problem: { kind, message } }, outcomes: [] }
 }
 
-function findFault(
+function findLogProblem(
   state: ConfigurationState,
   page: ConfigurationPage,
-): ConfigurationStep | undefined {
+): ApplyRecordsResult | undefined {
   const { version, nextOffset, logId, lastRecord } = state
   if (logId !== undefined && logId !== page.logId)
-    return keep(
+    return keepVersion(
       state,
       ConfigurationProblemKind.LogReplaced,
-      `the log is ${page.logId} instead of ${logId}; version ${version} stays in force`,
+      `the log id is ${page.logId} instead of ${logId}; keeping version ${version}`,
     )
   if (page.nextOffset < nextOffset)
-    return keep(
+    return keepVersion(
       state,
       ConfigurationProblemKind.LogShortened,
-      `the log ends at offset ${page.nextOffset}, but offset ${nextOffset - 1} was read; version ${version} stays in force`,
+      `the log ends at offset ${page.nextOffset}, but offset ${nextOffset - 1} was already read; keeping version ${version}`,
     )
   if (page.firstOffset > nextOffset)
-    return keep(
+    return keepVersion(
       state,
       ConfigurationProblemKind.RecordsMissing,
-      `the log starts at offset ${page.firstOffset}, but offset ${nextOffset} is needed; version ${version} stays in force`,
+      `the log starts at offset ${page.firstOffset}, but offset ${nextOffset} is needed; keeping version ${version}`,
     )
-  const again = page.records.find(({ offset }) => offset === lastRecord?.offset)
-  if (again && hashRecord(again.value) !== lastRecord?.hash)
-    return keep(
+  const reread = page.records.find(
+    ({ offset }) => offset === lastRecord?.offset,
+  )
+  if (reread && hashRecord(reread.value) !== lastRecord?.hash)
+    return keepVersion(
       state,
       ConfigurationProblemKind.LogRewritten,
-      `the log has another record at offset ${again.offset} than was read; version ${version} stays in force`,
+      `the record at offset ${reread.offset} has changed since it was read; keeping version ${version}`,
     )
   return undefined
 }
 
-function contiguous(
+function contiguousRecords(
   records: readonly ConfigurationLogRecord[],
   from: number,
 ): ConfigurationLogRecord[] {
@@ -80,13 +81,16 @@
   return found
 }
 
-/** Applies a page of the log, or keeps the version and says what is wrong. */
+/**
+ * Applies a page of the log. If the page contradicts what was read before, the
+ * state keeps its version and gets a `problem`.
+ */
 export function applyLogPage(
   state: ConfigurationState,
   page: ConfigurationPage,
-): ConfigurationStep {
-  const fault = findFault(state, page)
-  if (fault) return fault
+): ApplyRecordsResult {
+  const rejected = findLogProblem(state, page)
+  if (rejected) return rejected
   const { problem, ...healthy } = state
   const { lastRecord } = state
   const isVerified =
@@ -97,9 +101,9 @@
   const wasRewritten =
     problem?.kind === ConfigurationProblemKind.LogShortened ||
     problem?.kind === ConfigurationProblemKind.LogRewritten
-  // Without the last record nothing shows that the log is the same again.
+  // The problem clears only after the last record was compared again.
   if (wasRewritten && page.firstOffset > (lastRecord?.offset ?? 0))
     return { state, outcomes: [] }
-  const records = contiguous(page.records, state.nextOffset)
+  const records = contiguousRecords(page.records, state.nextOffset)
   return applyRecords({ ...healthy, logId: page.logId }, records)
 }
--- a/packages/core/src/node/configuration/applyRecords.ts
+++ b/packages/core/src/node/configuration/applyRecords.ts
@@ -7,46 +7,46 @@
 import { patchConfiguration } from './patchConfiguration.js'
 import { type PatchOutcome, PatchOutcomeKind } from './patchOutcome.js'
 import { type PatchRecord, patchRecordSchema } from './patchRecord.js'
-import { schemaOf, schemaRecordSchema } from './schemaRecord.js'
+import { requiredSchema, schemaRecordSchema } from './schemaRecord.js'
 
-/** A record with its place in the log. */
+/** A record of the configuration stream with its offset. */
 export interface ConfigurationLogRecord {
   readonly offset: number
   readonly value: unknown
 }
 
-/** A state and the outcomes of the records that led to it, in log order. */
-export interface ConfigurationStep {
+/** State after a batch of records, and the outcomes of its patches in log order. */
+export interface ApplyRecordsResult {
   readonly state: ConfigurationState
   readonly outcomes: readonly PatchOutcome[]
 }
 
 const MAX_REASON_LENGTH = 300
 
-interface Progress {
+interface ApplyProgress {
   state: ConfigurationState
-  readonly known: Map<string, PatchOutcome>
+  readonly knownOutcomes: Map<string, PatchOutcome>
   readonly outcomes: PatchOutcome[]
 }
 
-/** Returns the hash by which a record is recognised when read again. */
+/** Returns a hash that shows whether a record read again is unchanged. */
 export function hashRecord(value: unknown): string {
   return hash64(JSON.stringify([value]))
 }
 
-interface Decision {
+interface PatchDecision {
   readonly outcome: PatchOutcome
   readonly configuration?: Configuration
 }
 
-function decide(
+function decidePatch(
   state: ConfigurationState,
   record: PatchRecord,
   offset: number,
-): Decision {
+): PatchDecision {
   const { version, schema } = state
   const base = { patchId: record.patchId, offset, version }
-  const invalid = (reason: string): Decision => ({
+  const invalid = (reason: string): PatchDecision => ({
     outcome: {
       ...base,
       kind: PatchOutcomeKind.Invalid,
@@ -55,35 +55,35 @@
   })
   if (record.schema < schema)
     return invalid(
-      `the patch has schema ${record.schema}, but the log needs ${schema}; send it again through an upgraded router`,
+      `the patch has schema ${record.schema}, but the log requires ${schema}; resend it through an upgraded router`,
     )
   if (record.baseVersion !== version) {
-    const reason = `the patch is against version ${record.baseVersion}, but version ${version} is in force`
+    const reason = `the patch is based on version ${record.baseVersion}, but the current version is ${version}`
     return { outcome: { ...base, kind: PatchOutcomeKind.Conflict, reason } }
   }
   const patched = patchConfiguration(state.configuration, record.operations)
   if (patched.isErr()) return invalid(patched.error)
   const { configuration } = state
-  const refused = checkChange(configuration, patched.value, record.operator)
-  if (refused !== undefined) return invalid(refused)
+  const denied = checkChange(configuration, patched.value, record.operator)
+  if (denied !== undefined) return invalid(denied)
   const kind = PatchOutcomeKind.Applied
   const outcome = { ...base, kind, version: version + 1 }
   return { outcome, configuration: patched.value }
 }
 
 function applyPatchRecord(
-  progress: Progress,
+  progress: ApplyProgress,
   record: PatchRecord,
   offset: number,
 ): void {
-  const first = progress.known.get(record.patchId)
-  if (first) {
+  const known = progress.knownOutcomes.get(record.patchId)
+  if (known) {
     const kind = PatchOutcomeKind.Duplicate
-    progress.outcomes.push({ ...first, kind, offset })
+    progress.outcomes.push({ ...known, kind, offset })
     return
   }
-  const { outcome, configuration } = decide(progress.state, record, offset)
-  progress.known.set(record.patchId, outcome)
+  const { outcome, configuration } = decidePatch(progress.state, record, offset)
+  progress.knownOutcomes.set(record.patchId, outcome)
   progress.outcomes.push(outcome)
   if (!configuration) return
   const { digest } = progress.state
@@ -96,22 +96,25 @@
   }
 }
 
-// The window is counted in log offsets, so that every router forgets alike.
-function forgetOldOutcomes(progress: Progress, offset: number): void {
-  for (const [patchId, outcome] of progress.known) {
+// Counted in log offsets, so that every router drops the same outcomes.
+function dropOldOutcomes(progress: ApplyProgress, offset: number): void {
+  for (const [patchId, outcome] of progress.knownOutcomes) {
     if (outcome.offset > offset - OUTCOME_WINDOW_RECORDS) return
-    progress.known.delete(patchId)
+    progress.knownOutcomes.delete(patchId)
   }
 }
 
-function applyRecord(progress: Progress, record: ConfigurationLogRecord): void {
+function applyRecord(
+  progress: ApplyProgress,
+  record: ConfigurationLogRecord,
+): void {
   const { offset, value } = record
-  forgetOldOutcomes(progress, offset)
+  dropOldOutcomes(progress, offset)
   const patch = patchRecordSchema.safeParse(value)
-  const raised = schemaRecordSchema.safeParse(value)
+  const schemaRecord = schemaRecordSchema.safeParse(value)
   if (patch.success) applyPatchRecord(progress, patch.data, offset)
-  else if (raised.success) {
-    const schema = Math.max(progress.state.schema, raised.data.schema)
+  else if (schemaRecord.success) {
+    const schema = Math.max(progress.state.schema, schemaRecord.data.schema)
     progress.state = { ...progress.state, schema }
   }
   progress.state = {
@@ -121,28 +124,28 @@
   }
 }
 
-/** Applies records in log order; stops before one that needs a newer release. */
+/** Applies records in log order; stops before one with an unsupported schema. */
 export function applyRecords(
   state: ConfigurationState,
   records: readonly ConfigurationLogRecord[],
-): ConfigurationStep {
-  const progress: Progress = {
+): ApplyRecordsResult {
+  const progress: ApplyProgress = {
     state,
-    known: new Map(state.outcomes),
+    knownOutcomes: new Map(state.outcomes),
     outcomes: [],
   }
   for (const record of records) {
-    const needed = schemaOf(record.value) ?? 0
-    if (needed > CONFIGURATION_SCHEMA) {
+    const schema = requiredSchema(record.value) ?? 0
+    if (schema > CONFIGURATION_SCHEMA) {
       const kind = ConfigurationProblemKind.NewerSchema
-      const message = `the record at offset ${record.offset} has schema ${needed}, but this release knows ${CONFIGURATION_SCHEMA}; upgrade this router`
+      const message = `the record at offset ${record.offset} has schema ${schema}, but this release supports up to ${CONFIGURATION_SCHEMA}; upgrade this router`
       progress.state = { ...progress.state, problem: { kind, message } }
       break
     }
     applyRecord(progress, record)
   }
   return {
-    state: { ...progress.state, outcomes: progress.known },
+    state: { ...progress.state, outcomes: progress.knownOutcomes },
     outcomes: progress.outcomes,
   }
 }
--- a/packages/core/src/node/configuration/callerKey.ts
+++ b/packages/core/src/node/configuration/callerKey.ts
@@ -2,7 +2,7 @@
 import {
   createSaltedHash,
   matchesSaltedHash,
-  UNKNOWN_SECRET,
+  DUMMY_HASH,
 } from '../security/saltedHash.js'
 import type {
   CallerKeyConfiguration,
@@ -11,7 +11,7 @@
 
 const SECRET_BYTES = 24
 
-/** A new caller key: `text` goes to the caller, `stored` into the configuration. */
+/** A new caller key: `text` is for the caller, `stored` its salted hash. */
 export interface NewCallerKey {
   readonly text: string
   readonly stored: CallerKeyConfiguration
@@ -29,7 +29,7 @@
   }
 }
 
-/** Returns the customer that a caller key names, or undefined for a wrong key. */
+/** Returns the customer of a caller key, or undefined if the key is not valid. */
 export function findCustomer(
   cfg: Configuration,
   text: string,
@@ -40,7 +40,7 @@
     ? cfg.customers[customer]?.keys
     : undefined
   const key = keys && Object.hasOwn(keys, keyId) ? keys[keyId] : undefined
-  // An unknown name takes as long as a wrong secret.
-  const matches = matchesSaltedHash(key ?? UNKNOWN_SECRET, secret, nowMs)
+  // Hashes for unknown names too, so that timing does not reveal which names exist.
+  const matches = matchesSaltedHash(key ?? DUMMY_HASH, secret, nowMs)
   return key && matches ? customer : undefined
 }
--- a/packages/core/src/node/configuration/chooseCatchUpPeer.ts
+++ b/packages/core/src/node/configuration/chooseCatchUpPeer.ts
@@ -1,7 +1,7 @@
 import { hash32 } from '../hash/hash32.js'
 import type { ConfigurationState } from './configurationState.js'
 
-/** What a peer's heartbeat says of its configuration. */
+/** Configuration status that a peer reports in its heartbeat. */
 export interface PeerConfiguration {
   readonly id: string
   readonly version: number
@@ -13,11 +13,14 @@
 function isAhead(state: ConfigurationState, peer: PeerConfiguration): boolean {
   if (peer.logId === undefined) return false
   if (state.logId === peer.logId) return peer.nextOffset > state.nextOffset
-  // Before its first version a router has nothing that could be lost.
+  // At version 0 there is no state to lose, so the log id may differ.
   return state.version === 0 && peer.version > 0
 }
 
-/** Chooses a peer to catch up from; undefined when none is ahead. */
+/**
+ * Chooses a peer to fetch newer configuration from, or undefined if none is
+ * ahead. `seed` spreads the requests over the peers.
+ */
 export function chooseCatchUpPeer(
   state: ConfigurationState,
   peers: readonly PeerConfiguration[],
@@ -27,7 +30,7 @@
   return ahead[hash32(`${state.nextOffset}`, seed) % ahead.length]?.id
 }
 
-/** Returns the peers that hold the same version with other contents. */
+/** Returns the ids of peers with the same version but a different digest. */
 export function findDifferingPeers(
   state: ConfigurationState,
   peers: readonly PeerConfiguration[],
--- a/packages/core/src/node/configuration/chooseDigestPeers.ts
+++ b/packages/core/src/node/configuration/chooseDigestPeers.ts
@@ -10,8 +10,9 @@
 /**
  * Chooses the peers that a router exchanges heartbeats with.
  *
- * A small fleet is fully meshed. In a large one each router calls two parents
- * in its data centre's tree, whose first level also calls other data centres.
+ * A small fleet is a full mesh. In a larger one, the routers of a data centre
+ * form a tree in which each router contacts two parents; the routers at the
+ * root also contact other data centres.
  */
 export function chooseDigestPeers(
   self: RouterLocation,
@@ -27,26 +28,26 @@
     if (parent !== undefined && parent !== self.id) parents.add(parent)
   }
   if (rank < DIGEST_FANOUT)
-    for (const far of remotePeers(self, others)) parents.add(far)
+    for (const remote of chooseRemotePeers(self, others)) parents.add(remote)
   return [...parents]
 }
 
-function remotePeers(
+function chooseRemotePeers(
   self: RouterLocation,
   others: readonly RouterLocation[],
 ): string[] {
-  const far = new Map<string, RouterLocation[]>()
+  const byDataCentre = new Map<string, RouterLocation[]>()
   for (const router of others) {
     if (router.dataCentre === self.dataCentre) continue
-    const list = far.get(router.dataCentre)
+    const list = byDataCentre.get(router.dataCentre)
     if (list) list.push(router)
-    else far.set(router.dataCentre, [router])
+    else byDataCentre.set(router.dataCentre, [router])
   }
-  const places = [...far.keys()].map((id) => ({ id, weight: 1 }))
-  const nearest = rendezvousOrder(`far\n${self.id}`, places).slice(0, 2)
-  // Callers are spread over the readers of the log there.
+  const dataCentres = [...byDataCentre.keys()].map((id) => ({ id, weight: 1 }))
+  const chosen = rendezvousOrder(`far\n${self.id}`, dataCentres).slice(0, 2)
+  // Spreads the contacting routers over the log tailers of the data centre.
   const rank = hash32(self.id) % TAILERS_PER_DATA_CENTRE
-  return nearest.flatMap(({ id }) =>
-    tailerOrder(id, far.get(id) ?? []).slice(rank, rank + 1),
+  return chosen.flatMap(({ id }) =>
+    tailerOrder(id, byDataCentre.get(id) ?? []).slice(rank, rank + 1),
   )
 }
--- a/packages/core/src/node/configuration/configurationFields.ts
+++ b/packages/core/src/node/configuration/configurationFields.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod'
 import { configurationSchema } from './configurationSchema.js'
 
-/** A field of the configuration that holds entries by id. */
+/** Schemas of a configuration field that maps ids to entries. */
 export interface CollectionField {
   readonly key: z.ZodType
   readonly entry: z.ZodType
@@ -20,10 +20,11 @@
   else values.set(name, field)
 }
 
-/** The configuration's collections, by field name. */
+/** Configuration fields that map ids to entries, by field name. */
 export const collectionFields: ReadonlyMap<string, CollectionField> =
   collections
-/** The configuration's other fields, by name. */
+/** Schemas of all other configuration fields, by field name. */
 export const valueFields: ReadonlyMap<string, z.ZodType> = values
-/** Whether the schema holds rules that span fields, which need a whole check. */
-export const hasWholeChecks = (configurationSchema.def.checks ?? []).length > 0
+/** Whether the schema has checks across fields, which need the whole document. */
+export const hasCrossFieldChecks =
+  (configurationSchema.def.checks ?? []).length > 0
--- a/packages/core/src/node/configuration/configurationSchema.ts
+++ b/packages/core/src/node/configuration/configurationSchema.ts
@@ -9,10 +9,10 @@
 
 const customerSchema = z.strictObject({
   team: id.optional(),
-  /** Share of the queue relative to the other customers. */
+  /** Weight in the fair sharing of the queue between customers. */
   weight: z.number().positive().default(1),
   maxInFlight: z.int().positive().optional(),
-  /** Requests a second over the whole fleet. */
+  /** Requests per second over the whole fleet. */
   ratePerS: z.number().positive().optional(),
   keys: z.record(id, saltedHashSchema).default({}),
 })
@@ -25,17 +25,17 @@
 
 const targetSchema = z.strictObject({
   service: id,
-  /** Host and port, `10.0.0.1:8000`. */
+  /** Host and port, such as `10.0.0.1:8000`. */
   address: z.string().regex(/^[^:/\s]+:\d{1,5}$/),
   dataCentre: id,
   weight: z.number().positive().default(1),
-  /** Requests the target takes at once; the excess waits in the routers. */
+  /** Concurrent requests on the target; further ones queue in the routers. */
   maxInFlight: z.int().positive().optional(),
   /** Whether the target refuses orders with an old fencing token. */
   checksFencing: z.boolean().default(false),
-  /** What the engine is ordered to hold; no orders are sent without it. */
+  /** State that the engine is to have; orders are sent only if it is set. */
   desired: engineStateSchema.optional(),
-  /** Whether the target gets no new requests. */
+  /** Whether the target is draining and gets no new requests. */
   draining: z.boolean().optional(),
 })
 
@@ -43,11 +43,11 @@
   service: id.optional(),
   customer: id.optional(),
   requestKind: id.optional(),
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority, 9 the lowest. */
   rank: z.int().min(0).max(9),
 })
 
-/** Checks a whole configuration document. */
+/** Schema of the configuration document. */
 export const configurationSchema = z.strictObject({
   customers: z.record(id, customerSchema).default({}),
   services: z.record(id, serviceSchema).default({}),
@@ -58,15 +58,15 @@
   operators: z.record(id, operatorSchema).default({}),
 })
 
-/** The document that operators patch. */
+/** Configuration of the fleet, which operators change by patches. */
 export type Configuration = z.infer<typeof configurationSchema>
-/** One customer of the configuration. */
+/** Limits and caller keys of one customer. */
 export type CustomerConfiguration = z.infer<typeof customerSchema>
-/** One service of the configuration. */
+/** Settings of one service. */
 export type ServiceConfiguration = z.infer<typeof serviceSchema>
-/** One target of the configuration. */
+/** Address, capacity and desired state of one target. */
 export type TargetConfiguration = z.infer<typeof targetSchema>
-/** One rule that ranks requests. */
+/** Rule that assigns a rank to matching requests. */
 export type RuleConfiguration = z.infer<typeof ruleSchema>
-/** One caller key, kept as a salted hash. */
+/** Caller key, stored as a salted hash. */
 export type CallerKeyConfiguration = z.infer<typeof saltedHashSchema>
--- a/packages/core/src/node/configuration/configurationState.ts
+++ b/packages/core/src/node/configuration/configurationState.ts
@@ -5,32 +5,32 @@
 } from './configurationSchema.js'
 import type { PatchOutcome } from './patchOutcome.js'
 
-/** Identifies the last record that a router has read. */
-export interface RecordMark {
+/** Offset and hash of a record, to detect that it was rewritten. */
+export interface RecordFingerprint {
   readonly offset: number
   readonly hash: string
 }
 
-/** The configuration in force and what led to it. */
+/** Current configuration and the position in the log that it was built from. */
 export interface ConfigurationState {
   readonly version: number
   readonly configuration: Configuration
-  /** Hash over all patches that led to the version. */
+  /** Hash chain over all applied patches. */
   readonly digest: string
-  /** The log offset that is read next. */
+  /** Offset of the next record to apply. */
   readonly nextOffset: number
-  /** Outcomes of the newest patches, by patch id. */
+  /** Outcomes of recent patches by patch id, to detect duplicates. */
   readonly outcomes: ReadonlyMap<string, PatchOutcome>
-  /** Lowest schema version of a valid patch. */
+  /** Lowest schema version that a patch may have. */
   readonly schema: number
-  /** Identity of the log that the records came from. */
+  /** Id of the log that the records were read from. */
   readonly logId?: string
-  readonly lastRecord?: RecordMark
-  /** Set while the router keeps its version for a fault. */
+  readonly lastRecord?: RecordFingerprint
+  /** Set while the router keeps its version because of a problem. */
   readonly problem?: ConfigurationProblem
 }
 
-/** Returns the state before any record was read. */
+/** Creates the initial state: version 0 with an empty configuration. */
 export function createConfigurationState(): ConfigurationState {
   return {
     version: 0,
--- a/packages/core/src/node/configuration/findTouched.ts
+++ b/packages/core/src/node/configuration/findPatchScope.ts
@@ -1,24 +1,24 @@
 import {
   collectionFields,
-  hasWholeChecks,
+  hasCrossFieldChecks,
   valueFields,
 } from './configurationFields.js'
 import { parsePointer } from './jsonPointer.js'
 import type { JsonOperation } from './jsonOperation.js'
 
-/** The parts of a configuration that a patch reads or writes. */
-export interface TouchedParts {
-  /** Ids of entries, by collection. */
+/** Parts of the configuration that a patch reads or writes. */
+export interface PatchScope {
+  /** Ids of entries, by collection name. */
   readonly entries: ReadonlyMap<string, ReadonlySet<string>>
-  /** Names of the fields that are no collections. */
+  /** Names of fields other than collections. */
   readonly fields: ReadonlySet<string>
 }
 
-/** Finds what operations touch; undefined when only the whole will do. */
-export function findTouched(
+/** Returns the scope of a patch, or undefined if it needs the whole document. */
+export function findPatchScope(
   operations: readonly JsonOperation[],
-): TouchedParts | undefined {
-  if (hasWholeChecks) return undefined
+): PatchScope | undefined {
+  if (hasCrossFieldChecks) return undefined
   const entries = new Map<string, Set<string>>()
   const fields = new Set<string>()
   const paths = operations.flatMap(({ path, from }) =>
--- a/packages/core/src/node/configuration/findRank.ts
+++ b/packages/core/src/node/configuration/findRank.ts
@@ -1,13 +1,16 @@
 import type { Configuration } from './configurationSchema.js'
 
-/** What a rule looks at. */
+/** Request properties that rules match on. */
 export interface RankQuery {
   readonly service: string
   readonly customer: string
   readonly requestKind: string
 }
 
-/** Returns the rank of a request, 0 first; the most specific rule wins. */
+/**
+ * Returns the rank of a request; 0 is the highest priority. The rule with the
+ * most matching fields wins, and among equals the one with the lowest rank.
+ */
 export function findRank(cfg: Configuration, query: RankQuery): number {
   let rank = cfg.defaultRank
   let bestSpecificity = -1
--- a/packages/core/src/node/configuration/isPlainJson.ts
+++ b/packages/core/src/node/configuration/isPlainJson.ts
@@ -1,6 +1,6 @@
 const MAX_DEPTH = 32
 
-/** Returns whether a value nests at most 32 levels and names no prototype. */
+/** Returns whether a value has at most 32 levels and no `__proto__` key. */
 export function isPlainJson(value: unknown, depth = 0): boolean {
   if (typeof value !== 'object' || value === null) return true
   if (depth >= MAX_DEPTH) return false
--- a/packages/core/src/node/configuration/jsonOperation.ts
+++ b/packages/core/src/node/configuration/jsonOperation.ts
@@ -1,8 +1,8 @@
-/** One operation of a JSON Patch (RFC 6902), as read from the log. */
+/** One JSON Patch operation (RFC 6902), as read from the log. */
 export interface JsonOperation {
   readonly op: string
   readonly path: string
-  /** Source of a move or copy. */
+  /** Source path of a move or copy. */
   readonly from?: unknown
   readonly value?: unknown
 }
--- a/packages/core/src/node/configuration/jsonPointer.ts
+++ b/packages/core/src/node/configuration/jsonPointer.ts
@@ -5,7 +5,10 @@
   'prototype',
 ])
 
-/** Splits a JSON Pointer (RFC 6901); undefined when it is malformed or unsafe. */
+/**
+ * Splits a JSON Pointer (RFC 6901) into tokens. Returns undefined if it is
+ * malformed, has more than 32 tokens or could reach an object's prototype.
+ */
 export function parsePointer(path: string): string[] | undefined {
   if (path === '') return []
   if (!path.startsWith('/')) return undefined
--- a/packages/core/src/node/configuration/patchConfiguration.ts
+++ b/packages/core/src/node/configuration/patchConfiguration.ts
@@ -2,7 +2,7 @@
 import { collectionFields, valueFields } from './configurationFields.js'
 import type { Configuration } from './configurationSchema.js'
 import { patchInPlace } from './patchInPlace.js'
-import { findTouched, type TouchedParts } from './findTouched.js'
+import { findPatchScope, type PatchScope } from './findPatchScope.js'
 import type { JsonOperation } from './jsonOperation.js'
 import {
   describeIssues,
@@ -16,8 +16,8 @@
   return document[collection] as Entries
 }
 
-/** Copies the touched parts alone; the other entries are left out. */
-function copyTouched(document: Document, touched: TouchedParts): Document {
+/** Copies the entries in scope and all value fields; omits other entries. */
+function copyScope(document: Document, scope: PatchScope): Document {
   const draft: Document = {}
   for (const field of valueFields.keys())
     if (Object.hasOwn(document, field))
@@ -25,25 +25,22 @@
   for (const collection of collectionFields.keys()) {
     const source = entriesOf(document, collection)
     const copied: Entries = {}
-    for (const id of touched.entries.get(collection) ?? [])
+    for (const id of scope.entries.get(collection) ?? [])
       if (Object.hasOwn(source, id)) copied[id] = structuredClone(source[id])
     draft[collection] = copied
   }
   return draft
 }
 
-/** Validates the touched parts in place, filling in defaults. */
-function checkTouched(
-  draft: Document,
-  touched: TouchedParts,
-): string | undefined {
-  for (const name of touched.fields) {
+/** Validates the parts in scope and fills in defaults, in place. */
+function validateScope(draft: Document, scope: PatchScope): string | undefined {
+  for (const name of scope.fields) {
     const parsed = valueFields.get(name)?.safeParse(draft[name])
     if (parsed?.error) return describeIssues(parsed.error.issues, [name])
     if (parsed?.data === undefined) Reflect.deleteProperty(draft, name)
     else draft[name] = parsed.data
   }
-  for (const [collection, ids] of touched.entries) {
+  for (const [collection, ids] of scope.entries) {
     const entries = entriesOf(draft, collection)
     const field = collectionFields.get(collection)
     for (const id of ids) {
@@ -59,17 +56,17 @@
   return undefined
 }
 
-/** Returns the document with the touched parts of the draft. */
-function merge(
+/** Returns the document with the parts in scope replaced by those of the draft. */
+function mergeScope(
   document: Document,
   draft: Document,
-  touched: TouchedParts,
+  scope: PatchScope,
 ): Document {
   const merged = { ...document }
-  for (const name of touched.fields)
+  for (const name of scope.fields)
     if (Object.hasOwn(draft, name)) merged[name] = draft[name]
     else Reflect.deleteProperty(merged, name)
-  for (const [collection, ids] of touched.entries) {
+  for (const [collection, ids] of scope.entries) {
     const entries = { ...entriesOf(document, collection) }
     const changed = entriesOf(draft, collection)
     for (const id of ids)
@@ -80,15 +77,18 @@
   return merged
 }
 
-/** Patches a configuration, copying and validating only what a patch touches. */
+/**
+ * Applies a patch, copying and validating only the parts that it reads or
+ * writes. Gives the same result as {@link patchFullConfiguration}.
+ */
 export function patchConfiguration(
   configuration: Configuration,
   operations: readonly JsonOperation[],
 ): Result<Configuration, string> {
-  const touched = findTouched(operations)
-  if (!touched) return patchFullConfiguration(configuration, operations)
-  const draft = copyTouched(configuration, touched)
-  const fault = patchInPlace(draft, operations) ?? checkTouched(draft, touched)
-  if (fault !== undefined) return err(fault)
-  return ok(merge(configuration, draft, touched) as Configuration)
+  const scope = findPatchScope(operations)
+  if (!scope) return patchFullConfiguration(configuration, operations)
+  const draft = copyScope(configuration, scope)
+  const failure = patchInPlace(draft, operations) ?? validateScope(draft, scope)
+  if (failure !== undefined) return err(failure)
+  return ok(mergeScope(configuration, draft, scope) as Configuration)
 }
--- a/packages/core/src/node/configuration/patchFullConfiguration.ts
+++ b/packages/core/src/node/configuration/patchFullConfiguration.ts
@@ -7,7 +7,7 @@
 } from './configurationSchema.js'
 import type { JsonOperation } from './jsonOperation.js'
 
-/** Describes the faults of a document, each with its path. */
+/** Formats validation issues, each with its JSON Pointer. */
 export function describeIssues(
   issues: readonly z.core.$ZodIssue[],
   prefix: readonly PropertyKey[] = [],
@@ -19,14 +19,14 @@
     .join('; ')
 }
 
-/** Patches a copy of the whole document and validates all of it. */
+/** Applies a patch to a copy of the whole document and validates all of it. */
 export function patchFullConfiguration(
   configuration: Configuration,
   operations: readonly JsonOperation[],
 ): Result<Configuration, string> {
   const draft: unknown = structuredClone(configuration)
-  const failed = patchInPlace(draft, operations)
-  if (failed !== undefined) return err(failed)
+  const failure = patchInPlace(draft, operations)
+  if (failure !== undefined) return err(failure)
   const parsed = configurationSchema.safeParse(draft)
   return parsed.success
     ? ok(parsed.data)
--- a/packages/core/src/node/configuration/patchOutcome.ts
+++ b/packages/core/src/node/configuration/patchOutcome.ts
@@ -1,4 +1,4 @@
-/** What the log order made of a patch. */
+/** Result of a patch, which the order of the log determines. */
 export enum PatchOutcomeKind {
   Applied = 'applied',
   Conflict = 'conflict',
@@ -11,7 +11,7 @@
   readonly kind: PatchOutcomeKind
   readonly patchId: string
   readonly offset: number
-  /** The version in force after the patch. */
+  /** Configuration version after the patch. */
   readonly version: number
   readonly reason?: string
 }
--- a/packages/core/src/node/configuration/patchRecord.ts
+++ b/packages/core/src/node/configuration/patchRecord.ts
@@ -8,10 +8,10 @@
   value: z.unknown().optional(),
 })
 
-/** Checks a patch record of the configuration stream. */
+/** Schema of a patch record on the configuration stream. */
 export const patchRecordSchema = z.strictObject({
   type: z.literal('patch'),
-  /** Schema version that the author's router validated with. */
+  /** Schema version of the router that accepted the patch. */
   schema: z.int().min(1).max(CONFIGURATION_SCHEMA),
   patchId: z.string().min(1).max(64),
   baseVersion: z.int().min(0),
@@ -22,5 +22,5 @@
   operations: z.array(operationSchema).min(1),
 })
 
-/** A patch against a numbered version of the configuration. */
+/** Patch that applies to one version of the configuration. */
 export type PatchRecord = z.infer<typeof patchRecordSchema>
--- a/packages/core/src/node/configuration/schemaRecord.ts
+++ b/packages/core/src/node/configuration/schemaRecord.ts
@@ -1,9 +1,8 @@
 import { z } from 'zod'
 
 /**
- * Checks a record that raises the log's schema version.
- *
- * Patches of a lower schema that follow it are invalid on every router.
+ * Schema of a record that raises the schema version of the log. Later patches
+ * with a lower schema version are invalid on every router.
  */
 export const schemaRecordSchema = z.strictObject({
   type: z.literal('schema'),
@@ -15,8 +14,8 @@
   schema: z.int().min(1),
 })
 
-/** Returns the schema version that a record needs, or undefined for none. */
-export function schemaOf(value: unknown): number | undefined {
+/** Returns the schema version that a record requires, or undefined if none. */
+export function requiredSchema(value: unknown): number | undefined {
   const parsed = versionedSchema.safeParse(value)
   return parsed.success ? parsed.data.schema : undefined
 }
--- a/packages/core/src/node/configuration/serviceKind.ts
+++ b/packages/core/src/node/configuration/serviceKind.ts
@@ -1,4 +1,4 @@
-/** Tells model services, whose targets keep a prompt cache, from plain ones. */
+/** Kind of a service; only targets of model services have a prompt cache. */
 export enum ServiceKind {
   Model = 'model',
   Plain = 'plain',
--- a/packages/core/src/node/configuration/tailers.ts
+++ b/packages/core/src/node/configuration/tailers.ts
@@ -1,28 +1,34 @@
 import { TAILERS_PER_DATA_CENTRE } from '../constants.js'
 import { rendezvousOrder } from '../routing/rendezvousOrder.js'
 
-/** A live router, as the choice of log readers sees it. */
+/** Id and data centre of a live router. */
 export interface RouterLocation {
   readonly id: string
   readonly dataCentre: string
 }
 
-/** A peer that says whether it reads the log now. */
+/** A peer and whether it currently reads the log. */
 export interface PeerReaderStatus extends RouterLocation {
   readonly readsLog: boolean
 }
 
-/** Orders a data centre's routers; the first ones read the log. */
+/**
+ * Returns the router ids of a data centre in a fixed order. The first
+ * `TAILERS_PER_DATA_CENTRE` of them read the log directly.
+ */
 export function tailerOrder(
   dataCentre: string,
   routers: readonly RouterLocation[],
 ): string[] {
-  const here = routers.filter((router) => router.dataCentre === dataCentre)
-  const weighted = here.map(({ id }) => ({ id, weight: 1 }))
+  const local = routers.filter((router) => router.dataCentre === dataCentre)
+  const weighted = local.map(({ id }) => ({ id, weight: 1 }))
   return rendezvousOrder(`tailer\n${dataCentre}`, weighted).map(({ id }) => id)
 }
 
-/** Decides whether a router reads the log, or follows its peers. */
+/**
+ * Returns whether a router reads the log itself instead of following its
+ * peers. Any router does so while no live peer reads the log.
+ */
 export function shouldTail(
   self: RouterLocation,
   livePeers: readonly PeerReaderStatus[],
--- a/packages/core/src/node/patches/__tests__/checkRebase.test.ts
+++ b/packages/core/src/node/patches/__tests__/checkRebase.test.ts
@@ -32,7 +32,7 @@
 
 type Patch = readonly { op: string; path: string }[]
 
-function run(...patches: Patch[]): unknown {
+function applyAll(...patches: Patch[]): unknown {
   let draft: unknown = START
   for (const operations of patches) {
     const patched = applyOperations(draft, operations)
@@ -42,21 +42,21 @@
   return draft
 }
 
-describe('offerRebase', () => {
-  it('offers only patches whose order makes no difference', () => {
-    let offered = 0
+describe('checkRebase', () => {
+  it('allows only patches whose order makes no difference', () => {
+    let allowed = 0
     const property = fc.property(patch, patch, (mine, theirs) => {
-      if (run(mine) === undefined || run(theirs) === undefined) return
+      if (applyAll(mine) === undefined || applyAll(theirs) === undefined) return
       if (!checkRebase(mine, theirs).possible) return
-      offered += 1
-      assert.deepEqual(run(theirs, mine), run(mine, theirs))
-      assert.notEqual(run(theirs, mine), undefined)
+      allowed += 1
+      assert.deepEqual(applyAll(theirs, mine), applyAll(mine, theirs))
+      assert.notEqual(applyAll(theirs, mine), undefined)
     })
     fc.assert(property, { seed: 11, numRuns: 3_000 })
-    assert.ok(offered > 50, `only ${offered} patches were offered`)
+    assert.ok(allowed > 50, `only ${allowed} patches were allowed`)
   })
 
-  it('names the paths that clash', () => {
+  it('returns the paths that overlap', () => {
     const mine = [
       { op: 'replace', path: '/customers/corrib/weight', value: 2 },
       { op: 'add', path: '/rules/one', value: { rank: 1 } },
@@ -68,7 +68,7 @@
     })
   })
 
-  it('does not take a longer name for a path within', () => {
+  it('does not treat a longer name as a nested path', () => {
     const mine = [{ op: 'remove', path: '/customers/corrib' }]
     const theirs = [{ op: 'remove', path: '/customers/corrib-2' }]
     assert.ok(checkRebase(mine, theirs).possible)
--- a/packages/core/src/node/patches/checkRebase.ts
+++ b/packages/core/src/node/patches/checkRebase.ts
@@ -1,16 +1,16 @@
 import { type PathOperation, patchPaths, pathsOverlap } from './patchPaths.js'
 
-/** Whether a patch that lost a race still means the same on the newer version. */
+/** Whether a conflicting patch can be resubmitted unchanged on a newer version. */
 export interface RebaseCheck {
   readonly possible: boolean
-  /** Paths of the patch that the newer version has changed as well. */
+  /** Paths of the patch that overlap changes of the newer version. */
   readonly clashes: readonly string[]
 }
 
 /**
- * Decides whether a patch may be submitted unchanged on top of changes that
- * came first. Without overlapping paths both orders give the same document,
- * as the configuration holds no arrays.
+ * Checks whether a patch can be applied unchanged after concurrent changes.
+ * Without overlapping paths both orders give the same document, because the
+ * configuration contains no arrays.
  */
 export function checkRebase(
   mine: readonly PathOperation[],
--- a/packages/core/src/node/patches/patchPaths.ts
+++ b/packages/core/src/node/patches/patchPaths.ts
@@ -1,14 +1,16 @@
-/** A patch operation as far as its paths go. */
+/** Paths of a patch operation. */
 export interface PathOperation {
   readonly path: string
-  /** Source of a move or copy. */
+  /** Source path of a move or copy. */
   readonly from?: unknown
 }
 
-/** Splits a JSON Pointer (RFC 6901) into its names. */
+/** Splits a JSON Pointer (RFC 6901) into its unescaped tokens. */
 export function splitPointer(pointer: string): string[] {
-  const names = pointer.split('/').slice(1)
-  return names.map((name) => name.replaceAll('~1', '/').replaceAll('~0', '~'))
+  const tokens = pointer.split('/').slice(1)
+  return tokens.map((token) =>
+    token.replaceAll('~1', '/').replaceAll('~0', '~'),
+  )
 }
 
 /** Returns every path that the operations read or write. */
@@ -22,19 +24,19 @@
 }
 
 function isPrefix(prefix: readonly string[], path: readonly string[]): boolean {
-  return prefix.every((name, index) => path[index] === name)
+  return prefix.every((token, index) => path[index] === token)
 }
 
-/** Returns whether one path lies within the other. */
+/** Returns whether the paths are equal or one is an ancestor of the other. */
 export function pathsOverlap(one: string, other: string): boolean {
   const left = splitPointer(one)
   const right = splitPointer(other)
   return isPrefix(left, right) || isPrefix(right, left)
 }
 
-/** Joins names to a JSON Pointer (RFC 6901). */
-export function joinPointer(...names: string[]): string {
-  const escape = (name: string): string =>
-    `/${name.replaceAll('~', '~0').replaceAll('/', '~1')}`
-  return names.map(escape).join('')
+/** Joins tokens to a JSON Pointer (RFC 6901). */
+export function joinPointer(...tokens: string[]): string {
+  const escape = (token: string): string =>
+    `/${token.replaceAll('~', '~0').replaceAll('/', '~1')}`
+  return tokens.map(escape).join('')
 }
--- a/packages/core/src/node/snapshot/__tests__/snapshot.test.ts
+++ b/packages/core/src/node/snapshot/__tests__/snapshot.test.ts
@@ -24,16 +24,16 @@
   return applyLogPage(createConfigurationState(), page).state
 }
 
-describe('adoptSnapshot', () => {
-  it('leads a late joiner to the state of the writer', () => {
+describe('restoreSnapshot', () => {
+  it('restores the state of the writer on a new router', () => {
     const written: unknown = JSON.parse(
       JSON.stringify(createSnapshot(stateOf(5))),
     )
-    const adopted = restoreSnapshot(createConfigurationState(), written)
-    assert.deepEqual(adopted._unsafeUnwrap(), stateOf(5))
+    const restored = restoreSnapshot(createConfigurationState(), written)
+    assert.deepEqual(restored._unsafeUnwrap(), stateOf(5))
   })
 
-  it('refuses an older snapshot, a damaged one and one with other contents', () => {
+  it('rejects an older snapshot, a damaged one and one with another digest', () => {
     const older = restoreSnapshot(stateOf(5), createSnapshot(stateOf(4)))
     const damaged = restoreSnapshot(createConfigurationState(), {
       ...createSnapshot(stateOf(4)),
@@ -51,17 +51,17 @@
     )
   })
 
-  it('carries the version over to a log that replaced the old one', () => {
+  it('keeps the version when a snapshot was moved to a new log', () => {
     const moved = moveSnapshot(stateOf(5), 'log-2', 3, 'operator')
-    const adopted = restoreSnapshot(stateOf(5), moved)._unsafeUnwrap()
-    assert.equal(adopted.logId, 'log-2')
-    assert.equal(adopted.version, 5)
-    assert.equal(adopted.nextOffset, 3)
+    const restored = restoreSnapshot(stateOf(5), moved)._unsafeUnwrap()
+    assert.equal(restored.logId, 'log-2')
+    assert.equal(restored.version, 5)
+    assert.equal(restored.nextOffset, 3)
   })
 })
 
 describe('moveSnapshot', () => {
-  it('repairs a log that was shortened, once the fault is known', () => {
+  it('repairs a truncated log only after the problem was detected', () => {
     const moved = moveSnapshot(stateOf(5), 'log-1', 3, 'operator')
     const healthy = restoreSnapshot(stateOf(5), moved)
     assert.ok(healthy.isErr())
@@ -72,7 +72,7 @@
 })
 
 describe('chooseSnapshot', () => {
-  it('takes the newest one of this log', () => {
+  it('chooses the newest snapshot of this log', () => {
     const values = [stateOf(3), stateOf(6), stateOf(4), stateOf(9, 'log-2')]
     const { state } = chooseSnapshot(
       stateOf(2),
@@ -83,8 +83,8 @@
   })
 })
 
-describe('two moves at once', () => {
-  it('lets the first one stand', () => {
+describe('two concurrent moves', () => {
+  it('keep the first one', () => {
     const first = moveSnapshot(stateOf(5), 'log-2', 2, 'one')
     const second = moveSnapshot(stateOf(5), 'log-2', 4, 'two')
     const { state } = chooseSnapshot(stateOf(5), 'log-2', [first, second])
@@ -115,12 +115,12 @@
     })
   }
 
-  it('lets one router write first and the others follow if it fails', () => {
+  it('lets one router write first and the others only if it fails', () => {
     assert.equal(writersWithin(3_000).length, 1)
     assert.equal(writersWithin(60_000).length, 3)
   })
 
-  it('renews a snapshot well before retention removes it', () => {
+  it('renews a snapshot after a quarter of the retention time', () => {
     const base = {
       version: 5,
       nextOffset: 5,
--- a/packages/core/src/node/snapshot/chooseSnapshot.ts
+++ b/packages/core/src/node/snapshot/chooseSnapshot.ts
@@ -2,18 +2,19 @@
 import { restoreSnapshot } from './restoreSnapshot.js'
 import { type SnapshotRecord, snapshotRecordSchema } from './snapshotRecord.js'
 
-/** The best of some snapshots, and why others were refused. */
+/** Newest valid snapshot, and why others were rejected. */
 export interface SnapshotChoice {
   readonly state?: ConfigurationState
   readonly snapshot?: unknown
-  readonly refused: readonly string[]
+  /** Reasons why snapshots were rejected. */
+  readonly rejected: readonly string[]
 }
 
 /**
- * Drops a move that follows another one of the same version: routers that took
- * the first have gone on from there, so the first stands.
+ * Drops a moved snapshot that follows another one of the same version. Routers
+ * that restored the first one have already continued from it.
  */
-function withoutRepeatedMoves(
+function dropRepeatedMoves(
   logId: string,
   values: readonly unknown[],
 ): unknown[] {
@@ -32,7 +33,7 @@
   })
 }
 
-/** Chooses the newest snapshot of a log that does not lead back. */
+/** Chooses the newest snapshot of a log that is not older than the state. */
 export function chooseSnapshot(
   state: ConfigurationState,
   logId: string,
@@ -40,14 +41,14 @@
 ): SnapshotChoice {
   let best: ConfigurationState | undefined
   let snapshot: unknown
-  const refused: string[] = []
-  for (const value of withoutRepeatedMoves(logId, values)) {
-    const adopted = restoreSnapshot(best ?? state, value)
-    if (adopted.isErr()) refused.push(adopted.error.message)
-    else if (adopted.value.logId === logId) {
-      best = adopted.value
+  const rejected: string[] = []
+  for (const value of dropRepeatedMoves(logId, values)) {
+    const restored = restoreSnapshot(best ?? state, value)
+    if (restored.isErr()) rejected.push(restored.error.message)
+    else if (restored.value.logId === logId) {
+      best = restored.value
       snapshot = value
     }
   }
-  return { state: best, snapshot, refused }
+  return { state: best, snapshot, rejected }
 }
--- a/packages/core/src/node/snapshot/createSnapshot.ts
+++ b/packages/core/src/node/snapshot/createSnapshot.ts
@@ -2,15 +2,15 @@
 import { hash64 } from '../hash/hash64.js'
 import type { SnapshotRecord } from './snapshotRecord.js'
 
-/** Returns the hash that guards a snapshot against damage. */
+/** Returns the checksum of a snapshot. */
 export function hashSnapshot(
   snapshot: Omit<SnapshotRecord, 'checksum'>,
 ): string {
   const { version, digest, logId, nextOffset, lastRecord } = snapshot
   const { movedBy = '' } = snapshot
-  const mark = lastRecord?.hash ?? ''
-  const place = [version, digest, logId, nextOffset, mark, movedBy]
-  // The order of an outcome's fields must not matter.
+  const recordHash = lastRecord?.hash ?? ''
+  const header = [version, digest, logId, nextOffset, recordHash, movedBy]
+  // Arrays, so that the checksum does not depend on the order of object keys.
   const outcomes = snapshot.outcomes.map((outcome) => [
     outcome.kind,
     outcome.patchId,
@@ -18,19 +18,21 @@
     outcome.version,
     outcome.reason,
   ])
-  return hash64(JSON.stringify([...place, outcomes, snapshot.configuration]))
+  return hash64(JSON.stringify([...header, outcomes, snapshot.configuration]))
 }
 
-function seal(snapshot: Omit<SnapshotRecord, 'checksum'>): SnapshotRecord {
+function addChecksum(
+  snapshot: Omit<SnapshotRecord, 'checksum'>,
+): SnapshotRecord {
   return { ...snapshot, checksum: hashSnapshot(snapshot) }
 }
 
-/** Creates a snapshot of a state; undefined before a log was read. */
+/** Creates a snapshot of a state, or returns undefined before a log was read. */
 export function createSnapshot(
   state: ConfigurationState,
 ): SnapshotRecord | undefined {
   if (state.logId === undefined) return undefined
-  return seal({
+  return addChecksum({
     type: 'snapshot',
     schema: state.schema,
     version: state.version,
@@ -43,7 +45,10 @@
   })
 }
 
-/** Places a snapshot of a state at the end of another log. */
+/**
+ * Creates a snapshot that continues at `nextOffset` of a log which lost the
+ * configuration. `author` is the operator who moves it there.
+ */
 export function moveSnapshot(
   state: ConfigurationState,
   logId: string,
@@ -51,7 +56,7 @@
   author: string,
 ): SnapshotRecord {
   const { version, digest, schema, configuration } = state
-  return seal({
+  return addChecksum({
     type: 'snapshot',
     schema,
     version,
--- a/packages/core/src/node/snapshot/restoreSnapshot.ts
+++ b/packages/core/src/node/snapshot/restoreSnapshot.ts
@@ -9,7 +9,7 @@
 import { hashSnapshot } from './createSnapshot.js'
 import { type SnapshotRecord, snapshotRecordSchema } from './snapshotRecord.js'
 
-function refuse(
+function reject(
   kind: ConfigurationProblemKind,
   message: string,
 ): Result<never, ConfigurationProblem> {
@@ -21,9 +21,9 @@
 ): Result<ConfigurationState, ConfigurationProblem> {
   const parsed = configurationSchema.safeParse(snapshot.configuration)
   if (!parsed.success)
-    return refuse(
+    return reject(
       ConfigurationProblemKind.SnapshotBroken,
-      `the snapshot of version ${snapshot.version} breaks the schema`,
+      `the configuration in the snapshot of version ${snapshot.version} does not match the schema`,
     )
   return ok({
     version: snapshot.version,
@@ -37,49 +37,55 @@
   })
 }
 
-/** Whether an operator placed the snapshot at the end of a shortened log. */
-function repairs(state: ConfigurationState, snapshot: SnapshotRecord): boolean {
+/** Returns whether an operator moved the snapshot to repair a truncated log. */
+function isRepair(
+  state: ConfigurationState,
+  snapshot: SnapshotRecord,
+): boolean {
   const kind = state.problem?.kind
-  const isShorter =
+  const isTruncated =
     kind === ConfigurationProblemKind.LogShortened ||
     kind === ConfigurationProblemKind.LogRewritten
-  return isShorter && snapshot.movedBy !== undefined
+  return isTruncated && snapshot.movedBy !== undefined
 }
 
-/** Returns the state that a snapshot holds, or why this router refuses it. */
+/**
+ * Returns the state in a snapshot, or the problem for which it is rejected. A
+ * snapshot must be intact and must not be older than the current state.
+ */
 export function restoreSnapshot(
   state: ConfigurationState,
   value: unknown,
 ): Result<ConfigurationState, ConfigurationProblem> {
   const parsed = snapshotRecordSchema.safeParse(value)
   if (!parsed.success || parsed.data.checksum !== hashSnapshot(parsed.data))
-    return refuse(
+    return reject(
       ConfigurationProblemKind.SnapshotBroken,
-      'a snapshot is damaged; it was skipped',
+      'a snapshot does not match the schema or its checksum; skipping it',
     )
   const snapshot = parsed.data
   if (snapshot.schema > CONFIGURATION_SCHEMA)
-    return refuse(
+    return reject(
       ConfigurationProblemKind.NewerSchema,
-      `a snapshot has schema ${snapshot.schema}, but this release knows ${CONFIGURATION_SCHEMA}; upgrade this router`,
+      `a snapshot has schema ${snapshot.schema}, but this release supports up to ${CONFIGURATION_SCHEMA}; upgrade this router`,
     )
   if (snapshot.version < state.version)
-    return refuse(
+    return reject(
       ConfigurationProblemKind.SnapshotOlder,
-      `a snapshot has version ${snapshot.version}; version ${state.version} stays in force`,
+      `a snapshot has the older version ${snapshot.version}; keeping version ${state.version}`,
     )
   const isSameVersion = snapshot.version === state.version
   if (isSameVersion && snapshot.digest !== state.digest)
-    return refuse(
+    return reject(
       ConfigurationProblemKind.DigestDiffers,
-      `a snapshot of version ${state.version} has other contents than the version in force`,
+      `a snapshot of version ${state.version} has a different digest than the current configuration`,
     )
   const isBehind =
     snapshot.logId === state.logId && snapshot.nextOffset < state.nextOffset
-  if (isBehind && !repairs(state, snapshot))
-    return refuse(
+  if (isBehind && !isRepair(state, snapshot))
+    return reject(
       ConfigurationProblemKind.SnapshotOlder,
-      `a snapshot ends at offset ${snapshot.nextOffset}; offset ${state.nextOffset} was reached`,
+      `a snapshot ends at offset ${snapshot.nextOffset}, before the current offset ${state.nextOffset}`,
     )
   return toState(snapshot)
 }
--- a/packages/core/src/node/snapshot/snapshotRecord.ts
+++ b/packages/core/src/node/snapshot/snapshotRecord.ts
@@ -9,25 +9,25 @@
   reason: z.string().optional(),
 })
 
-/** Checks a snapshot of the configuration, from the log or from a peer. */
+/** Schema of a configuration snapshot, from the log or from a peer. */
 export const snapshotRecordSchema = z.strictObject({
   type: z.literal('snapshot'),
-  /** Schema version that a reader must know. */
+  /** Schema version that a reader must support. */
   schema: z.int().min(1),
   version: z.int().min(0),
-  /** Hash over all patches that led to the version. */
+  /** Hash chain over all applied patches. */
   digest: z.string(),
   logId: z.string(),
-  /** Offset of the configuration stream that is read next. */
+  /** Offset of the configuration stream to continue from. */
   nextOffset: z.int().min(0),
   lastRecord: z.strictObject({ offset: z.int(), hash: z.string() }).optional(),
   outcomes: z.array(outcomeSchema),
   configuration: z.unknown(),
-  /** The operator who moved the configuration to a log that lost it. */
+  /** Operator who moved the configuration to a log that had lost it. */
   movedBy: z.string().min(1).max(128).optional(),
-  /** Hash over the other fields. */
+  /** Checksum over the other fields. */
   checksum: z.string(),
 })
 
-/** A whole configuration with its place in the log. */
+/** Complete configuration with its position in the log. */
 export type SnapshotRecord = z.infer<typeof snapshotRecordSchema>
--- a/packages/core/src/node/snapshot/snapshotSchedule.ts
+++ b/packages/core/src/node/snapshot/snapshotSchedule.ts
@@ -6,7 +6,7 @@
   SNAPSHOT_RANK_STEP_MS,
 } from '../constants.js'
 
-/** A snapshot that stands on the log. */
+/** Latest snapshot in the log. */
 export interface WrittenSnapshot {
   readonly version: number
   readonly nextOffset: number
@@ -14,20 +14,20 @@
   readonly atMs: number
 }
 
-/** What the decision to write a snapshot looks at. */
+/** Input of {@link scheduleSnapshot}. */
 export interface SnapshotScheduleInput {
   readonly version: number
   readonly nextOffset: number
   readonly last?: WrittenSnapshot
   readonly router: string
   readonly liveRouters: readonly string[]
-  /** Milliseconds that the log keeps a record. */
+  /** Retention time of the log, in milliseconds. */
   readonly retentionMs: number
   /** Milliseconds since the epoch. */
   readonly nowMs: number
 }
 
-/** Since when a snapshot is due, or undefined while none is. */
+/** Time since which a snapshot is due; undefined while none is due. */
 export interface SnapshotSchedule {
   readonly dueSinceMs?: number
 }
@@ -43,7 +43,7 @@
   return records >= SNAPSHOT_EVERY_RECORDS || ageMs >= retentionMs / 8
 }
 
-function delayMs(input: SnapshotScheduleInput): number {
+function resolveDelayMs(input: SnapshotScheduleInput): number {
   const key = `snapshot\n${input.last?.nextOffset ?? 0}`
   const routers = new Set([...input.liveRouters, input.router])
   const order = rendezvousOrder(
@@ -55,13 +55,16 @@
   return rank * SNAPSHOT_RANK_STEP_MS + jitter
 }
 
-/** Decides whether this router writes a snapshot now; writing twice is harmless. */
+/**
+ * Returns whether this router writes a snapshot now. Routers take turns by a
+ * delay of their rank, and two writers at once do no harm.
+ */
 export function scheduleSnapshot(
   schedule: SnapshotSchedule,
   input: SnapshotScheduleInput,
 ): { schedule: SnapshotSchedule; write: boolean } {
   if (!isDue(input)) return { schedule: {}, write: false }
   const dueSinceMs = schedule.dueSinceMs ?? input.nowMs
-  const write = input.nowMs - dueSinceMs >= delayMs(input)
+  const write = input.nowMs - dueSinceMs >= resolveDelayMs(input)
   return { schedule: { dueSinceMs }, write }
 }
