--- a/packages/core/src/node/claims/__tests__/claimTable.test.ts
+++ b/packages/core/src/node/claims/__tests__/claimTable.test.ts
@@ -11,8 +11,8 @@
 
 const SEED = 503
 
-/** Looks through all records so far, without any state. */
-function holderOf(records: readonly ClaimRecord[], key: string) {
+/** Reference implementation: scans all records so far, without any state. */
+function findHolder(records: readonly ClaimRecord[], key: string) {
   let holder: string | undefined
   let phase: ClaimPhase | undefined
   for (const record of records) {
@@ -55,26 +55,26 @@
   }),
 )
 
-describe('the claim table', () => {
-  it('holds what a search through the whole log finds', () => {
+describe('createClaimTable', () => {
+  it('matches a scan through the whole log', () => {
     fc.assert(
       fc.property(fc.array(recordArbitrary, { maxLength: 40 }), (records) => {
         const table = createClaimTable(1_000)
         for (const [offset, record] of records.entries()) {
           const decision = table.apply(record, offset, offset)
-          const naive = holderOf(records.slice(0, offset + 1), record.key)
+          const expected = findHolder(records.slice(0, offset + 1), record.key)
           const found = table.find(record.key)
-          assert.equal(found?.claimId, naive?.holder)
-          assert.equal(found?.phase, naive?.phase)
+          assert.equal(found?.claimId, expected?.holder)
+          assert.equal(found?.phase, expected?.phase)
           if (record.kind === ClaimRecordKind.Claim)
-            assert.equal(decision?.holder.claimId, naive?.holder)
+            assert.equal(decision?.holder.claimId, expected?.holder)
         }
       }),
       { seed: SEED, numRuns: 500 },
     )
   })
 
-  it('knows every claim after its horizon, whatever was dropped', () => {
+  it('keeps every claim after its horizon, whatever was dropped', () => {
     fc.assert(
       fc.property(
         fc.array(name('key', 30), { minLength: 1, maxLength: 60 }),
@@ -99,15 +99,15 @@
     )
   })
 
-  it('ignores records of another form', () => {
+  it('ignores records that do not match the schema', () => {
     const table = createClaimTable(10)
     assert.equal(table.apply({ kind: 'other' }, 0, 0), undefined)
     assert.equal(table.size, 0)
   })
 })
 
-describe('the time that a key carries', () => {
-  it('is read from a UUID of version 7 and from a leading time', () => {
+describe('idempotency key time', () => {
+  it('is parsed from a version 7 UUID or a leading timestamp', () => {
     const uuid = '017f22e2-79b0-7cc3-98c4-dc0c0c07398f'
     assert.equal(parseKeyTime(uuid), 1_645_557_742_000)
     assert.equal(parseKeyTime('1645557742000.sign-off-7'), 1_645_557_742_000)
@@ -115,7 +115,7 @@
     assert.equal(parseKeyTime('1645557742000.'), undefined)
   })
 
-  it('is covered only beyond the horizon and the skew of clocks', () => {
+  it('must be after the horizon plus the clock skew', () => {
     assert.ok(isKeyAfterHorizon(1_000, -Infinity))
     assert.ok(!isKeyAfterHorizon(1_000 + MAX_KEY_SKEW_MS, 1_000))
     assert.ok(isKeyAfterHorizon(1_001 + MAX_KEY_SKEW_MS, 1_000))
--- a/packages/core/src/node/claims/claimRecord.ts
+++ b/packages/core/src/node/claims/claimRecord.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod'
 
-/** Stream of the log service that carries claims. */
+/** Log service stream for claims. */
 export const CLAIMS_STREAM = 'claims'
 
-/** Kinds of records on the claims stream. */
+/** Kind of a record on the claims stream. */
 export enum ClaimRecordKind {
   Claim = 'claim',
   Release = 'release',
@@ -12,20 +12,20 @@
 
 const base = { claimId: z.string().min(1), key: z.string().min(1) }
 
-/** Checks a record of the claims stream. */
+/** Schema of a record on the claims stream. */
 export const claimRecordSchema = z.discriminatedUnion('kind', [
   z.object({
     ...base,
     kind: z.literal(ClaimRecordKind.Claim),
-    /** Digest of the request, so that a key is not used for another one. */
+    /** Digest of the request, to detect reuse of a key for another request. */
     digest: z.string().min(1),
   }),
-  /** The claim's holder will never dispatch the request. */
+  /** The holder of the claim will not dispatch the request. */
   z.object({ ...base, kind: z.literal(ClaimRecordKind.Release) }),
   z.object({
     ...base,
     kind: z.literal(ClaimRecordKind.Outcome),
-    /** HTTP status of the answer; absent where the outcome is unknown. */
+    /** HTTP status of the response; absent if the outcome is unknown. */
     status: z.int().optional(),
   }),
 ])
--- a/packages/core/src/node/claims/claimTable.ts
+++ b/packages/core/src/node/claims/claimTable.ts
@@ -1,51 +1,55 @@
 import { ClaimRecordKind, claimRecordSchema } from './claimRecord.js'
 
-/** What is known of a key whose claim was won. */
+/** Phase of the request that holds a claim. */
 export enum ClaimPhase {
-  /** The winner may be running the request. */
+  /** The request may be running. */
   Running = 'running',
-  /** A target answered. */
+  /** A target responded. */
   Finished = 'finished',
-  /** The winner does not know whether the request ran. */
+  /** The holder does not know whether the request ran. */
   Unknown = 'unknown',
 }
 
-/** The claim that holds a key. */
+/** Claim that currently holds an idempotency key. */
 export interface HeldClaim {
   readonly claimId: string
   readonly digest: string
   readonly offset: number
-  /** Milliseconds since the epoch, as the log recorded them. */
+  /** Time of the record in the log, in milliseconds since the epoch. */
   readonly atMs: number
   readonly phase: ClaimPhase
   readonly status?: number
 }
 
-/** What log order made of one claim. */
+/** Result of a claim, which the order of the log determines. */
 export interface ClaimDecision {
   readonly claimId: string
   readonly key: string
-  /** The claim that holds the key; the decided one itself when it won. */
+  /** Claim that holds the key; this claim itself if it was first. */
   readonly holder: HeldClaim
 }
 
-/** Folds the claims stream; every router that reads it decides alike. */
+/**
+ * State built from the claims stream. The first claim of a key in log order
+ * holds it, so every router that reads the stream decides the same.
+ */
 export interface ClaimTable {
-  /** Takes in the record at `offset`; returns the decision on a claim. */
+  /** Applies the record at `offset`; returns the decision if it is a claim. */
   apply(value: unknown, offset: number, atMs: number): ClaimDecision | undefined
-  /** Drops claims before `offset`, which the log has dropped. */
+  /** Drops claims before `offset`, which the log no longer retains. */
   trim(offset: number): void
-  /** Forgets everything claimed up to `atMs`, after a gap in the log. */
+  /** Drops all claims after a gap in the log and raises the horizon to `atMs`. */
   reset(atMs: number): void
   find(key: string): HeldClaim | undefined
   readonly size: number
-  /** Claims recorded up to this time are not all known; -Infinity at first. */
+  /**
+   * Milliseconds since the epoch; claims recorded up to this time may be
+   * missing from the table. Initially -Infinity.
+   */
   readonly horizonMs: number
 }
 
-/**
- * Creates a table that holds at most `maxClaims`; the oldest are dropped first.
- */
+/** Creates a table of at most `maxClaims` claims; evicts the oldest first. */
 export function createClaimTable(maxClaims: number): ClaimTable {
   // Insertion order is log order.
   const held = new Map<string, HeldClaim>()
@@ -74,10 +78,10 @@
         if (holder) return { claimId, key, holder }
         const { digest } = record
         const phase = ClaimPhase.Running
-        const won: HeldClaim = { claimId, digest, offset, atMs, phase }
-        held.set(key, won)
+        const claim: HeldClaim = { claimId, digest, offset, atMs, phase }
+        held.set(key, claim)
         limitSize()
-        return { claimId, key, holder: won }
+        return { claimId, key, holder: claim }
       }
       if (holder?.claimId !== claimId) return undefined
       if (record.kind === ClaimRecordKind.Release) held.delete(key)
--- a/packages/core/src/node/leases/__tests__/leases.test.ts
+++ b/packages/core/src/node/leases/__tests__/leases.test.ts
@@ -9,7 +9,7 @@
 }
 
 describe('leases', () => {
-  it('goes to the first in log order and stays until it ends', () => {
+  it('grants a lease to the first record in log order until it expires', () => {
     let table = createLeaseTable()
     const records = [
       { offset: 4, atMs: 100, value: ask('a', '1') },
@@ -26,7 +26,7 @@
     assert.equal(table.leases.get('orders')?.token, 8)
   })
 
-  it('never has two holders that may act at once, and tokens only grow', () => {
+  it('never has two holders with valid leases, and tokens never decrease', () => {
     const step = fc.record({
       holder: fc.constantFrom('a', 'b', 'c'),
       delayMs: fc.nat(400),
@@ -57,7 +57,10 @@
       for (const one of spans)
         for (const other of spans)
           if (one.holder !== other.holder && one.from < other.from)
-            assert.ok(one.to <= other.from, 'two holders may act at once')
+            assert.ok(
+              one.to <= other.from,
+              'two holders have valid leases at once',
+            )
     })
     fc.assert(property, { seed: 3, numRuns: 2_000 })
   })
--- a/packages/core/src/node/leases/heldLease.ts
+++ b/packages/core/src/node/leases/heldLease.ts
@@ -1,31 +1,34 @@
 import type { LeaseTable } from './leaseTable.js'
 
-/** Part of a lease's time that its holder leaves unused, for clock drift. */
-const MARGIN = 0.2
+/** Fraction of the lease time that the holder leaves unused, for clock drift. */
+const CLOCK_DRIFT_MARGIN = 0.2
 
-/** A lease as its holder may use it. */
+/** Lease as seen by its holder. */
 export interface HeldLease {
   readonly token: number
-  /** Last use, in milliseconds of the holder's monotonic clock. */
+  /** End of use, in milliseconds of the holder's monotonic clock. */
   readonly validUntilMs: number
 }
 
-/** A record that the holder has sent. */
+/** Lease record that this router has sent to the log. */
 export interface LeaseRequest {
   readonly name: string
   readonly requestId: string
   readonly ttlMs: number
-  /** When it was sent, in milliseconds of the holder's monotonic clock. */
+  /** Send time, in milliseconds of the holder's monotonic clock. */
   readonly sentAtMs: number
 }
 
-/** Returns the lease that a sent record brought; time counts from the sending. */
+/**
+ * Returns the lease that a sent record granted or renewed, or undefined if it
+ * did not. Validity counts from sending, which is before the log granted it.
+ */
 export function findHeldLease(
   table: LeaseTable,
   sent: LeaseRequest,
 ): HeldLease | undefined {
   const lease = table.leases.get(sent.name)
   if (lease?.requestId !== sent.requestId) return undefined
-  const validUntilMs = sent.sentAtMs + sent.ttlMs * (1 - MARGIN)
+  const validUntilMs = sent.sentAtMs + sent.ttlMs * (1 - CLOCK_DRIFT_MARGIN)
   return { token: lease.token, validUntilMs }
 }
--- a/packages/core/src/node/leases/leaseRecord.ts
+++ b/packages/core/src/node/leases/leaseRecord.ts
@@ -1,16 +1,16 @@
 import { z } from 'zod'
 
-/** Checks a record that asks for a lease, or renews one. */
+/** Schema of a record that requests or renews a lease. */
 export const leaseRecordSchema = z.strictObject({
   type: z.literal('lease'),
-  /** What the lease is for. */
+  /** Name of the leased resource. */
   name: z.string().min(1).max(128),
-  /** Router and incarnation. */
+  /** Router id and incarnation. */
   holder: z.string().min(1).max(128),
   ttlMs: z.int().positive(),
-  /** Tells the holder's own record from the others. */
+  /** Identifies the record, so that its sender finds its own. */
   requestId: z.string().min(1).max(64),
 })
 
-/** A record of the stream of leases. */
+/** Record on the leases stream. */
 export type LeaseRecord = z.infer<typeof leaseRecordSchema>
--- a/packages/core/src/node/leases/leaseTable.ts
+++ b/packages/core/src/node/leases/leaseTable.ts
@@ -1,44 +1,44 @@
 import { leaseRecordSchema } from './leaseRecord.js'
 
-/** A lease as the log's order and clock decide it. */
+/** Current lease of a name, by the order and the clock of the log. */
 export interface Lease {
   readonly holder: string
-  /** Offset of the record that granted it: the fencing token. */
+  /** Fencing token: offset of the record that granted the lease. */
   readonly token: number
-  /** Request that granted or last renewed it. */
+  /** Request that granted or last renewed the lease. */
   readonly requestId: string
-  /** End by the log's clock, in milliseconds since the epoch. */
+  /** Expiry by the log's clock, in milliseconds since the epoch. */
   readonly expiresAtMs: number
 }
 
-/** All leases after some prefix of the stream. */
+/** Leases after a prefix of the leases stream. */
 export interface LeaseTable {
   readonly leases: ReadonlyMap<string, Lease>
-  /** Newest time that the log has given a record. */
+  /** Latest record time so far, in milliseconds since the epoch. */
   readonly logClockMs: number
   readonly nextOffset: number
 }
 
-/** A record as the log returns it. */
-export interface TimedRecord {
+/** Record with the offset and time that the log assigned. */
+export interface TimestampedRecord {
   readonly offset: number
-  /** When the log took it, in milliseconds since the epoch. */
+  /** When the log appended it, in milliseconds since the epoch. */
   readonly atMs: number
   readonly value: unknown
 }
 
-/** Returns the table before any record. */
+/** Creates an empty table. */
 export function createLeaseTable(): LeaseTable {
   return { leases: new Map(), logClockMs: 0, nextOffset: 0 }
 }
 
 /**
- * Applies one record. A lease is granted when none is in force by the log's
- * own clock; the holder's further records extend it under the same token.
+ * Applies one record. A lease is granted if no unexpired lease exists by the
+ * log's clock; further records of the holder renew it with the same token.
  */
 export function applyLeaseRecord(
   table: LeaseTable,
-  record: TimedRecord,
+  record: TimestampedRecord,
 ): LeaseTable {
   const logClockMs = Math.max(table.logClockMs, record.atMs)
   const next = { ...table, logClockMs, nextOffset: record.offset + 1 }
@@ -46,9 +46,9 @@
   if (!parsed.success) return next
   const { name, holder, ttlMs, requestId } = parsed.data
   const current = table.leases.get(name)
-  const inForce = current !== undefined && logClockMs < current.expiresAtMs
-  if (inForce && current.holder !== holder) return next
-  const token = inForce ? current.token : record.offset
+  const isActive = current !== undefined && logClockMs < current.expiresAtMs
+  if (isActive && current.holder !== holder) return next
+  const token = isActive ? current.token : record.offset
   const expiresAtMs = logClockMs + ttlMs
   const lease = { holder, token, requestId, expiresAtMs }
   return { ...next, leases: new Map(table.leases).set(name, lease) }
--- a/packages/core/src/node/membership/__tests__/membership.test.ts
+++ b/packages/core/src/node/membership/__tests__/membership.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { FLAP_HOLD_MS, LEAVING_TTL_MS } from '../constants.js'
+import { FLAP_BASE_HOLD_MS, LEAVING_TTL_MS } from '../constants.js'
 import { createPeerLiveness } from '../createPeerLiveness.js'
 import { MemberState } from '../memberState.js'
 import { type VmEntry, VmRole } from '../vmEntry.js'
@@ -24,8 +24,8 @@
 
 const six = ['a', 'b', 'c', 'd', 'e', 'f'].map((id) => target(id))
 
-describe('the view of the VMs', () => {
-  it('keeps the last view when over half vanish at once, and says so', () => {
+describe('membership view', () => {
+  it('keeps VMs and reports them as held when over half vanish at once', () => {
     const before = applyVmList(createMembershipView(), six, 0)
     const empty = applyVmList(before, [], 1_000)
     assert.equal(currentVms(empty, 1_000).length, 6)
@@ -36,14 +36,14 @@
     assert.equal(stateOf(back, 'a', 2_000), MemberState.Live)
   })
 
-  it('gives no new work to a target that vanished', () => {
+  it('shows a target that vanished as leaving', () => {
     const before = applyVmList(createMembershipView(), six, 0)
     const view = applyVmList(before, six.slice(1), 1_000)
     assert.equal(stateOf(view, 'a', 1_000), MemberState.Leaving)
     assert.equal(departureAges(view, 1_000).a, 0)
   })
 
-  it('holds a target that flaps longer each time', () => {
+  it('doubles the hold of a flapping target each time', () => {
     const gone = [target('a', MemberState.Leaving), ...six.slice(1)]
     let view = applyVmList(createMembershipView(), six, 0)
     for (const [round, holdMs] of [3_000, 6_000, 12_000].entries()) {
@@ -54,17 +54,17 @@
       assert.equal(stateOf(view, 'a', endMs - 1), MemberState.Leaving)
       assert.equal(stateOf(view, 'a', endMs), MemberState.Live)
     }
-    assert.equal(FLAP_HOLD_MS, 3_000)
+    assert.equal(FLAP_BASE_HOLD_MS, 3_000)
   })
 
-  it('shows a target that no list names live again after it drained', () => {
+  it('shows an unlisted target live again after its departure expired', () => {
     const view = applyReportedDepartures(createMembershipView(), { x: 0 }, 0)
     assert.equal(stateOf(view, 'x', LEAVING_TTL_MS), MemberState.Leaving)
     const later = applyReportedDepartures(view, {}, LEAVING_TTL_MS + 1)
     assert.equal(stateOf(later, 'x', LEAVING_TTL_MS + 1), MemberState.Live)
   })
 
-  it('does not let a departure circulate between routers for ever', () => {
+  it('does not let routers keep a departure alive by reporting it to each other', () => {
     let left = applyVmList(createMembershipView(), six, 0)
     let right = applyReportedDepartures(left, { a: 0 }, 0)
     for (let nowMs = 500; nowMs <= 2 * LEAVING_TTL_MS; nowMs += 500) {
@@ -75,7 +75,7 @@
     assert.equal(stateOf(right, 'a', 2 * LEAVING_TTL_MS), MemberState.Live)
   })
 
-  it('never shows a target live that the newest list calls leaving', () => {
+  it('never shows a target as live that the newest list shows as leaving', () => {
     const entry = fc
       .tuple(fc.constantFrom('a', 'b', 'c'), fc.boolean())
       .map(([id, leaves]) =>
@@ -97,7 +97,7 @@
 })
 
 describe('createPeerLiveness', () => {
-  it('takes the newest start of a router and reports two at once', () => {
+  it('returns the newest incarnation of a router and reports duplicates', () => {
     const liveness = createPeerLiveness<string>(2_000)
     liveness.recordHeartbeat('r', '2', 'new', 0)
     liveness.recordHeartbeat('r', '1', 'old', 100)
@@ -107,7 +107,7 @@
     assert.deepEqual(liveness.findDuplicates(2_500), [])
   })
 
-  it('does not take its own pause for the silence of its peers', () => {
+  it('does not count a pause of its own process against its peers', () => {
     const liveness = createPeerLiveness<string>(2_000)
     liveness.tick(0)
     liveness.recordHeartbeat('r', '1', 'x', 0)
--- a/packages/core/src/node/membership/constants.ts
+++ b/packages/core/src/node/membership/constants.ts
@@ -1,18 +1,18 @@
-/** Milliseconds for which a heard departure counts without being heard again. */
+/** Milliseconds after which a departure expires unless peers report it again. */
 export const LEAVING_TTL_MS = 6_000
-/** Departures that a heartbeat carries at most. */
+/** Maximum number of departures in a heartbeat. */
 export const LEAVING_MAX_IDS = 256
-/** Shortest hold of a target that came back, in milliseconds. */
-export const FLAP_HOLD_MS = 3_000
-/** Longest hold of a target that came back, in milliseconds. */
+/** Hold of a target after its first flap, in milliseconds; each further one doubles it. */
+export const FLAP_BASE_HOLD_MS = 3_000
+/** Upper bound of the hold of a flapping target, in milliseconds. */
 export const FLAP_MAX_HOLD_MS = 60_000
-/** Milliseconds without a change after which flaps are forgotten. */
-export const FLAP_MEMORY_MS = 300_000
-/** Departed targets that a view remembers at most. */
+/** Milliseconds without a flap after which the flap count is reset. */
+export const FLAP_RESET_MS = 300_000
+/** Maximum number of departed targets in a membership view. */
 export const DEPARTED_MAX_IDS = 20_000
-/** Longest time between two ticks that does not count as a pause, in milliseconds. */
-export const PAUSE_MS = 1_000
-/** Milliseconds for which a router announces a departure that it saw. */
+/** Milliseconds between two ticks above which the process is considered paused. */
+export const MAX_TICK_GAP_MS = 1_000
+/** Milliseconds for which a router announces a departure seen in its own VM list. */
 export const LEAVING_ANNOUNCE_MS = 60_000
-/** Departures heard from peers that a view remembers at most. */
-export const HEARD_MAX_IDS = 4_096
+/** Maximum number of departures reported by peers in a membership view. */
+export const REPORTED_LEAVING_MAX_IDS = 4_096
--- a/packages/core/src/node/membership/createPeerLiveness.ts
+++ b/packages/core/src/node/membership/createPeerLiveness.ts
@@ -1,85 +1,104 @@
-import { PAUSE_MS } from './constants.js'
+import { MAX_TICK_GAP_MS } from './constants.js'
 
-/** A router that was heard within the time limit. */
+/** Router whose last heartbeat is within the timeout. */
 export interface LivePeer<T> {
   readonly id: string
   readonly heartbeat: T
-  /** Milliseconds since the last heartbeat, without own pauses. */
+  /** Milliseconds since the last heartbeat, not counting pauses of this process. */
   readonly ageMs: number
 }
 
-/** Decides which routers are alive, by the own monotonic clock alone. */
+/** Timeout-based failure detector that uses only the local monotonic clock. */
 export interface PeerLiveness<T> {
-  /** Takes in a heartbeat of one start of a router. */
+  /** Records a heartbeat from one incarnation of a router. */
   recordHeartbeat(
     id: string,
     incarnation: string,
     heartbeat: T,
     nowMs: number,
   ): void
-  /** Call often: the time of a pause of this process is nobody's silence. */
+  /**
+   * Must be called regularly. A gap of more than `MAX_TICK_GAP_MS` between two
+   * calls is a pause of this process and does not count against any peer.
+   */
   tick(nowMs: number): void
-  /** Returns the newest live start of each router. */
+  /** Returns the newest live incarnation of each router. */
   livePeers(nowMs: number): LivePeer<T>[]
-  /** Returns the routers of which two starts are heard at once. */
+  /** Returns the ids of routers with two or more live incarnations. */
   findDuplicates(nowMs: number): string[]
 }
 
-interface Heard<T> {
+interface ReceivedHeartbeat<T> {
   readonly incarnation: string
   readonly heartbeat: T
-  heardAtMs: number
+  receivedAtMs: number
 }
 
-/** Creates the knowledge of who is alive; incarnations sort by start time. */
+/**
+ * Creates a failure detector with a timeout in milliseconds. Incarnation strings
+ * must sort by start time.
+ */
 export function createPeerLiveness<T>(timeoutMs: number): PeerLiveness<T> {
-  const routers = new Map<string, Map<string, Heard<T>>>()
+  const routers = new Map<string, Map<string, ReceivedHeartbeat<T>>>()
   let tickedAtMs: number | undefined
 
-  function liveStarts(starts: Map<string, Heard<T>>, nowMs: number) {
-    return [...starts.values()]
-      .filter(({ heardAtMs }) => nowMs - heardAtMs <= timeoutMs)
+  function liveIncarnations(
+    incarnations: Map<string, ReceivedHeartbeat<T>>,
+    nowMs: number,
+  ) {
+    return [...incarnations.values()]
+      .filter(({ receivedAtMs }) => nowMs - receivedAtMs <= timeoutMs)
       .sort((a, b) => (a.incarnation < b.incarnation ? 1 : -1))
   }
 
-  function forgetSilent(nowMs: number): void {
-    for (const [id, starts] of routers) {
-      for (const [incarnation, { heardAtMs }] of starts)
-        if (nowMs - heardAtMs > 2 * timeoutMs) starts.delete(incarnation)
-      if (starts.size === 0) routers.delete(id)
+  function removeExpired(nowMs: number): void {
+    for (const [id, incarnations] of routers) {
+      for (const [incarnation, { receivedAtMs }] of incarnations)
+        if (nowMs - receivedAtMs > 2 * timeoutMs)
+          incarnations.delete(incarnation)
+      if (incarnations.size === 0) routers.delete(id)
     }
   }
 
-  function forgivePause(pausedMs: number): void {
-    for (const starts of routers.values())
-      for (const heard of starts.values()) heard.heardAtMs += pausedMs
+  function excludePause(pausedMs: number): void {
+    for (const incarnations of routers.values())
+      for (const received of incarnations.values())
+        received.receivedAtMs += pausedMs
   }
 
   return {
     recordHeartbeat(id, incarnation, heartbeat, nowMs) {
-      const starts = routers.get(id) ?? new Map<string, Heard<T>>()
-      starts.set(incarnation, { incarnation, heartbeat, heardAtMs: nowMs })
-      routers.set(id, starts)
+      const incarnations =
+        routers.get(id) ?? new Map<string, ReceivedHeartbeat<T>>()
+      incarnations.set(incarnation, {
+        incarnation,
+        heartbeat,
+        receivedAtMs: nowMs,
+      })
+      routers.set(id, incarnations)
     },
     tick(nowMs) {
       const passedMs = nowMs - (tickedAtMs ?? nowMs)
       tickedAtMs = nowMs
-      if (passedMs > PAUSE_MS) forgivePause(passedMs)
-      forgetSilent(nowMs)
+      if (passedMs > MAX_TICK_GAP_MS) excludePause(passedMs)
+      removeExpired(nowMs)
     },
     livePeers(nowMs) {
       const found: LivePeer<T>[] = []
-      for (const [id, starts] of routers) {
-        const [newest] = liveStarts(starts, nowMs)
+      for (const [id, incarnations] of routers) {
+        const [newest] = liveIncarnations(incarnations, nowMs)
         if (!newest) continue
-        const { heartbeat, heardAtMs } = newest
-        found.push({ id, heartbeat, ageMs: Math.max(0, nowMs - heardAtMs) })
+        const { heartbeat, receivedAtMs } = newest
+        found.push({ id, heartbeat, ageMs: Math.max(0, nowMs - receivedAtMs) })
       }
       return found
     },
     findDuplicates: (nowMs) =>
       [...routers]
-        .filter(([, starts]) => liveStarts(starts, nowMs).length > 1)
+        .filter(
+          ([, incarnations]) =>
+            liveIncarnations(incarnations, nowMs).length > 1,
+        )
         .map(([id]) => id),
   }
 }
--- a/packages/core/src/node/membership/memberState.ts
+++ b/packages/core/src/node/membership/memberState.ts
@@ -1,4 +1,4 @@
-/** What the VM list says of a VM. */
+/** State of a VM in the VM list. */
 export enum MemberState {
   Live = 'live',
   Leaving = 'leaving',
--- a/packages/core/src/node/membership/membershipView.ts
+++ b/packages/core/src/node/membership/membershipView.ts
@@ -1,9 +1,9 @@
 import {
   DEPARTED_MAX_IDS,
-  FLAP_HOLD_MS,
+  FLAP_BASE_HOLD_MS,
   FLAP_MAX_HOLD_MS,
-  FLAP_MEMORY_MS,
-  HEARD_MAX_IDS,
+  FLAP_RESET_MS,
+  REPORTED_LEAVING_MAX_IDS,
   LEAVING_ANNOUNCE_MS,
   LEAVING_MAX_IDS,
   LEAVING_TTL_MS,
@@ -11,40 +11,40 @@
 import { MemberState } from './memberState.js'
 import { type VmEntry, VmRole } from './vmEntry.js'
 
-interface Flaps {
+interface FlapRecord {
   readonly count: number
-  /** Until when the VM counts as leaving. */
+  /** Time until which the VM is shown as leaving. */
   readonly holdUntilMs: number
   readonly changedAtMs: number
 }
 
-/** What a router knows of the VMs, from the list and from its peers. */
+/** VMs known to a router, from the VM list and from reports of its peers. */
 export interface MembershipView {
   readonly listed: ReadonlyMap<string, VmEntry>
-  /** Targets that were listed and are no longer. */
+  /** Targets that were listed before and are missing from the newest list. */
   readonly departed: ReadonlyMap<string, VmEntry>
-  /** VMs kept although the list misses them, as too many vanished at once. */
+  /** Ids of VMs kept although the newest list lacks them, see {@link applyVmList}. */
   readonly held: readonly string[]
-  readonly flaps: ReadonlyMap<string, Flaps>
-  /** When this router first saw a VM leave, by id. */
-  readonly leftAtMs: ReadonlyMap<string, number>
-  /** When some router saw a VM leave, by id; milliseconds of the own clock. */
-  readonly heardLeaving: ReadonlyMap<string, number>
+  readonly flaps: ReadonlyMap<string, FlapRecord>
+  /** When the VM list first showed a VM as leaving or missing, by id. */
+  readonly observedLeavingAtMs: ReadonlyMap<string, number>
+  /** When any router last saw a VM leaving, by id, in milliseconds of the local clock. */
+  readonly reportedLeavingAtMs: ReadonlyMap<string, number>
 }
 
-/** Returns the view before the first list. */
+/** Creates an empty view. */
 export function createMembershipView(): MembershipView {
   return {
     listed: new Map(),
     departed: new Map(),
     held: [],
     flaps: new Map(),
-    leftAtMs: new Map(),
-    heardLeaving: new Map(),
+    observedLeavingAtMs: new Map(),
+    reportedLeavingAtMs: new Map(),
   }
 }
 
-function byId(list: readonly VmEntry[]): Map<string, VmEntry> {
+function indexById(list: readonly VmEntry[]): Map<string, VmEntry> {
   const entries = new Map<string, VmEntry>()
   for (const vm of list) {
     const isLeaving = entries.get(vm.id)?.state === MemberState.Leaving
@@ -75,16 +75,19 @@
   view: MembershipView,
   next: ReadonlyMap<string, VmEntry>,
   nowMs: number,
-): Map<string, Flaps> {
-  const flaps = new Map<string, Flaps>()
+): Map<string, FlapRecord> {
+  const flaps = new Map<string, FlapRecord>()
   for (const [id, entry] of view.flaps)
-    if (nowMs - entry.changedAtMs < FLAP_MEMORY_MS) flaps.set(id, entry)
+    if (nowMs - entry.changedAtMs < FLAP_RESET_MS) flaps.set(id, entry)
   for (const [id, vm] of next) {
     const isLive = vm.state === MemberState.Live
     const isKnown = view.listed.has(id) || view.departed.has(id)
     if (!isLive || !isKnown || wasLive(view, id)) continue
     const count = (flaps.get(id)?.count ?? 0) + 1
-    const holdMs = Math.min(FLAP_HOLD_MS * 2 ** (count - 1), FLAP_MAX_HOLD_MS)
+    const holdMs = Math.min(
+      FLAP_BASE_HOLD_MS * 2 ** (count - 1),
+      FLAP_MAX_HOLD_MS,
+    )
     flaps.set(id, { count, holdUntilMs: nowMs + holdMs, changedAtMs: nowMs })
   }
   return flaps
@@ -104,27 +107,31 @@
   return departed
 }
 
-function findLeft(
+function findObservedLeaving(
   view: MembershipView,
   next: ReadonlyMap<string, VmEntry>,
   departed: ReadonlyMap<string, VmEntry>,
   nowMs: number,
 ): Map<string, number> {
-  const left = new Map<string, number>()
+  const leavingAtMs = new Map<string, number>()
   for (const [id, vm] of next)
     if (vm.state === MemberState.Leaving)
-      left.set(id, view.leftAtMs.get(id) ?? nowMs)
-  for (const id of departed.keys()) left.set(id, view.leftAtMs.get(id) ?? nowMs)
-  return left
+      leavingAtMs.set(id, view.observedLeavingAtMs.get(id) ?? nowMs)
+  for (const id of departed.keys())
+    leavingAtMs.set(id, view.observedLeavingAtMs.get(id) ?? nowMs)
+  return leavingAtMs
 }
 
-/** Takes in a list; VMs of a role of which over half vanish at once are held. */
+/**
+ * Applies a new VM list. If more than half of the VMs of a role vanish at once,
+ * the list is taken for incomplete and these VMs are kept.
+ */
 export function applyVmList(
   view: MembershipView,
   list: readonly VmEntry[],
   nowMs: number,
 ): MembershipView {
-  const next = byId(list)
+  const next = indexById(list)
   const held = findHeld(view, next)
   for (const vm of held) next.set(vm.id, vm)
   const departed = findDeparted(view, next)
@@ -132,67 +139,68 @@
     ...view,
     listed: next,
     departed,
-    leftAtMs: findLeft(view, next, departed, nowMs),
+    observedLeavingAtMs: findObservedLeaving(view, next, departed, nowMs),
     held: held.map(({ id }) => id),
     flaps: countFlaps(view, next, nowMs),
   }
 }
 
-/** Takes in that some router saw VMs leave, `ages` milliseconds ago by id. */
+/** Applies departures reported by a peer; `ages` are in milliseconds, by VM id. */
 export function applyReportedDepartures(
   view: MembershipView,
   ages: Readonly<Record<string, number>>,
   nowMs: number,
 ): MembershipView {
-  const heardLeaving = new Map(view.heardLeaving)
+  const reportedLeavingAtMs = new Map(view.reportedLeavingAtMs)
   for (const [id, ageMs] of Object.entries(ages)) {
     if (ageMs > LEAVING_TTL_MS) continue
-    const knownMs = heardLeaving.get(id) ?? -Infinity
-    heardLeaving.delete(id)
-    heardLeaving.set(id, Math.max(knownMs, nowMs - ageMs))
+    const knownMs = reportedLeavingAtMs.get(id) ?? -Infinity
+    reportedLeavingAtMs.delete(id)
+    reportedLeavingAtMs.set(id, Math.max(knownMs, nowMs - ageMs))
   }
-  for (const id of heardLeaving.keys()) {
-    if (heardLeaving.size <= HEARD_MAX_IDS) break
-    heardLeaving.delete(id)
+  for (const id of reportedLeavingAtMs.keys()) {
+    if (reportedLeavingAtMs.size <= REPORTED_LEAVING_MAX_IDS) break
+    reportedLeavingAtMs.delete(id)
   }
-  return { ...view, heardLeaving }
+  return { ...view, reportedLeavingAtMs }
 }
 
-/** Returns the VMs that left or are leaving, with the age of the knowledge. */
+/** Returns the departures to report to peers: age in milliseconds, by VM id. */
 export function departureAges(
   view: MembershipView,
   nowMs: number,
 ): Record<string, number> {
   const ages = new Map<string, number>()
-  for (const [id, atMs] of view.heardLeaving)
+  for (const [id, atMs] of view.reportedLeavingAtMs)
     if (nowMs - atMs <= LEAVING_TTL_MS) ages.set(id, Math.ceil(nowMs - atMs))
-  // Later the lists of the others show it as well.
-  for (const [id, atMs] of view.leftAtMs)
+  // After LEAVING_ANNOUNCE_MS the VM lists of all peers show the departure too.
+  for (const [id, atMs] of view.observedLeavingAtMs)
     if (nowMs - atMs <= LEAVING_ANNOUNCE_MS) ages.set(id, 0)
   const youngest = [...ages].sort((a, b) => a[1] - b[1])
   return Object.fromEntries(youngest.slice(0, LEAVING_MAX_IDS))
 }
 
-/** Returns the VMs; one that any source calls leaving is leaving. */
+/** Returns the VMs; one is leaving if the list, a peer or flap damping says so. */
 export function currentVms(view: MembershipView, nowMs: number): VmEntry[] {
   const vms: VmEntry[] = []
-  const isHeard = (id: string): boolean =>
-    nowMs - (view.heardLeaving.get(id) ?? -Infinity) <= LEAVING_TTL_MS
+  const isReported = (id: string): boolean =>
+    nowMs - (view.reportedLeavingAtMs.get(id) ?? -Infinity) <= LEAVING_TTL_MS
   for (const [id, vm] of view.listed) {
     const isFlapping =
       vm.role === VmRole.Target &&
       (view.flaps.get(id)?.holdUntilMs ?? -Infinity) > nowMs
-    const isLeaving = isFlapping || isHeard(id)
+    const isLeaving = isFlapping || isReported(id)
     vms.push(isLeaving ? { ...vm, state: MemberState.Leaving } : vm)
   }
-  const state = MemberState.Leaving
-  for (const vm of view.departed.values()) vms.push({ ...vm, state })
-  // Once shown, a target that no list names stays and is live again.
+  for (const vm of view.departed.values())
+    vms.push({ ...vm, state: MemberState.Leaving })
+  // Targets known only from reports stay in the view and become live again
+  // when the report expires.
   const unlisted = { role: VmRole.Target, address: '', dataCentre: '' }
-  for (const id of view.heardLeaving.keys())
+  for (const id of view.reportedLeavingAtMs.keys())
     if (!view.listed.has(id) && !view.departed.has(id)) {
-      const heard = isHeard(id) ? MemberState.Leaving : MemberState.Live
-      vms.push({ id, ...unlisted, state: heard })
+      const state = isReported(id) ? MemberState.Leaving : MemberState.Live
+      vms.push({ id, ...unlisted, state })
     }
   return vms
 }
