--- a/packages/core/src/node/orders/__tests__/planOrders.test.ts
+++ b/packages/core/src/node/orders/__tests__/planOrders.test.ts
@@ -29,7 +29,7 @@
 }
 
 describe('planOrders', () => {
-  it('drains before anything destructive, seen by routers and target', () => {
+  it('sends a destructive change only after routers and target report a drain', () => {
     const { Drain, Send } = OrderActionKind
     const routers = [empty(afterMs), empty(afterMs)]
     const target = empty(afterMs)
@@ -53,14 +53,14 @@
     assert.deepEqual(kinds(removed), [OrderActionKind.Drain])
   })
 
-  it('does nothing with an ended lease, a silent target or the right state', () => {
+  it('does nothing with an expired lease, an unresponsive target or the desired state', () => {
     assert.deepEqual(kinds({}, 10, lease.validUntilMs), [])
     assert.deepEqual(kinds({ observed: undefined }), [])
     assert.deepEqual(kinds({ observed: second }), [])
   })
 
-  it('empties a quarter of a service at once, and at least one target', () => {
-    const drained = (count: number): number => {
+  it('drains a quarter of a service at once, and at least one target', () => {
+    const countDraining = (count: number): number => {
       const targets = Array.from({ length: count }, (_, index) => ({
         id: `engine-${index}`,
         service: 'briefing',
@@ -70,10 +70,10 @@
       }))
       return planOrders({ targets, lease, loads: 100, nowMs: 0 }).length
     }
-    assert.deepEqual([1, 2, 13].map(drained), [1, 1, 3])
+    assert.deepEqual([1, 2, 13].map(countDraining), [1, 1, 3])
   })
 
-  it('waits until a changed target has its work back', () => {
+  it('waits until all routers use a changed target again', () => {
     const common = { service: 'briefing', desired: second }
     const changed = {
       ...common,
@@ -94,7 +94,7 @@
     assert.deepEqual([count(4_999), count(5_000)], [0, 1])
   })
 
-  it('does not even drain before the weight store allows the load', () => {
+  it('does not drain before the load budget allows the weight load', () => {
     assert.deepEqual(kinds({}, 0), [OrderActionKind.AwaitBudget])
     let budget = createLoadBudget(0)
     budget = refillBudget(budget, 6, 9_000)
--- a/packages/core/src/node/orders/drainStatus.ts
+++ b/packages/core/src/node/orders/drainStatus.ts
@@ -1,26 +1,29 @@
-/** Milliseconds within which every router has heard that a target drains. */
+/** Milliseconds within which every router learns that a target is draining. */
 export const DRAIN_PROPAGATION_MS = 3_000
 
-/** A count of requests in flight on a target, from one source. */
+/** In-flight count of a target, reported by one source. */
 export interface InFlightSample {
   readonly inFlight: number
-  /** When it was true, in milliseconds of the own monotonic clock. */
+  /** Time of the sample, in milliseconds of the local monotonic clock. */
   readonly atMs: number
 }
 
-/** What is known of the requests on a target that is to be drained. */
+/** Progress of draining a target. */
 export interface DrainStatus {
-  /** When draining was announced; undefined before. */
+  /** When draining was announced; undefined if it was not. */
   readonly sinceMs?: number
-  /** From this router and each live peer. */
+  /** Samples from this router and each live peer. */
   readonly routers: readonly InFlightSample[]
-  /** From the target itself. */
+  /** Sample from the target itself. */
   readonly target?: InFlightSample
 }
 
-/** Returns whether both the routers and the target show it empty since then. */
-export function isDrained(evidence: DrainStatus): boolean {
-  const { sinceMs, routers, target } = evidence
+/**
+ * Returns whether the target and all routers report no requests in flight,
+ * each after the announcement of the drain has reached every router.
+ */
+export function isDrained(status: DrainStatus): boolean {
+  const { sinceMs, routers, target } = status
   if (sinceMs === undefined || !target) return false
   const isEmpty = ({ inFlight, atMs }: InFlightSample): boolean =>
     inFlight === 0 && atMs >= sinceMs + DRAIN_PROPAGATION_MS
--- a/packages/core/src/node/orders/engineState.ts
+++ b/packages/core/src/node/orders/engineState.ts
@@ -2,26 +2,26 @@
 
 const name = z.string().regex(/^[a-z0-9][a-z0-9.-]{0,62}$/)
 
-/** What an engine does with the requests it gets. */
+/** Phases of inference that an engine runs. */
 export enum EngineRole {
   Mixed = 'mixed',
   Prefill = 'prefill',
   Decode = 'decode',
 }
 
-/** Checks the state that an engine is to have, or has. */
+/** Schema of the desired or observed state of an engine. */
 export const engineStateSchema = z.strictObject({
   model: name,
   modelVersion: name.default('1'),
-  /** Versions by adapter. */
+  /** Version by adapter name. */
   adapters: z.record(name, name).default({}),
   role: z.enum(EngineRole).default(EngineRole.Mixed),
 })
 
-/** The model, the adapters and the role of an engine. */
+/** Model, adapters and role of an engine. */
 export type EngineState = z.infer<typeof engineStateSchema>
 
-/** Returns whether two states are the same. */
+/** Returns whether two engine states are equal. */
 export function isSameState(one: EngineState, other: EngineState): boolean {
   const isSame =
     one.model === other.model &&
@@ -35,7 +35,10 @@
   )
 }
 
-/** Returns whether a change takes something away that requests may need. */
+/**
+ * Returns whether a change removes or replaces something that running requests
+ * may need: the model, the role or an adapter.
+ */
 export function isDestructive(from: EngineState, to: EngineState): boolean {
   if (from.model !== to.model || from.modelVersion !== to.modelVersion)
     return true
@@ -45,12 +48,12 @@
   )
 }
 
-/** Returns how many sets of weights a change loads. */
-export function weightLoads(from: EngineState, to: EngineState): number {
-  const isOther =
+/** Returns how many sets of weights (model and adapters) a change loads. */
+export function countWeightLoads(from: EngineState, to: EngineState): number {
+  const replacesModel =
     from.model !== to.model || from.modelVersion !== to.modelVersion
   const added = Object.entries(to.adapters).filter(
-    ([adapter, version]) => isOther || from.adapters[adapter] !== version,
+    ([adapter, version]) => replacesModel || from.adapters[adapter] !== version,
   )
-  return added.length + (isOther ? 1 : 0)
+  return added.length + (replacesModel ? 1 : 0)
 }
--- a/packages/core/src/node/orders/loadBudget.ts
+++ b/packages/core/src/node/orders/loadBudget.ts
@@ -1,15 +1,18 @@
-/** Loads of weights that may start now; refilled at the store's rate. */
+/** Token bucket for weight loads, refilled at the rate of the weight store. */
 export interface LoadBudget {
   readonly available: number
   readonly atMs: number
 }
 
-/** Returns an empty budget: the holder before may have just spent its own. */
+/**
+ * Creates an empty budget, because the previous lease holder may have spent
+ * its whole budget just before.
+ */
 export function createLoadBudget(nowMs: number): LoadBudget {
   return { available: 0, atMs: nowMs }
 }
 
-/** Refills a budget, to at most one minute's loads. */
+/** Refills a budget for the time passed, up to the loads of one minute. */
 export function refillBudget(
   budget: LoadBudget,
   loadsPerMinute: number,
--- a/packages/core/src/node/orders/planOrders.ts
+++ b/packages/core/src/node/orders/planOrders.ts
@@ -4,40 +4,40 @@
   isDestructive,
   isSameState,
   type EngineState,
-  weightLoads,
+  countWeightLoads,
 } from './engineState.js'
 
-/** What is to be done with one target. */
+/** Kind of step for one target. */
 export enum OrderActionKind {
-  /** Announce to all routers that it gets no new work. */
+  /** Announce to all routers that the target gets no new requests. */
   Drain = 'drain',
-  /** Set its state. */
+  /** Send the desired state to the target. */
   Send = 'send',
-  /** Nothing until the weight store's rate allows a load. */
+  /** Wait until the load budget allows the weight loads. */
   AwaitBudget = 'await-budget',
 }
 
-/** A target whose state is part of the configuration. */
+/** Target with a desired state in the configuration. */
 export interface ManagedTarget {
   readonly id: string
   readonly service: string
   readonly desired: EngineState
-  /** What it said last; undefined when it does not answer. */
+  /** State that the target reported; undefined if it does not respond. */
   readonly observed?: EngineState
   readonly drain: DrainStatus
-  /** When all routers use it again after an order; undefined without one. */
+  /** When all routers use the target again after a drain; undefined without one. */
   readonly returnsAtMs?: number
-  /** Whether it had the desired state and lost it, as by a late order. */
+  /** Whether the target had the desired state and lost it, e.g. by a late order. */
   readonly strayed?: boolean
 }
 
-/** What the plan looks at. */
-export interface OrderInput {
+/** Options for {@link planOrders}. */
+export interface PlanOrdersOptions {
   readonly targets: readonly ManagedTarget[]
   readonly lease?: HeldLease
-  /** Loads that the weight store allows now. */
+  /** Weight loads that may start now. */
   readonly loads: number
-  /** Milliseconds of the own monotonic clock. */
+  /** Milliseconds of the local monotonic clock. */
   readonly nowMs: number
 }
 
@@ -45,23 +45,23 @@
 export interface OrderAction {
   readonly kind: OrderActionKind
   readonly target: string
-  /** Loads of weights that the step costs. */
+  /** Weight loads that the step needs. */
   readonly loads: number
-  /** The whole state, so that a repeated order changes nothing. */
+  /** Complete desired state, so that a repeated order is idempotent. */
   readonly state: EngineState
   readonly token: number
 }
 
-/** Share of a service's targets that is emptied at once. */
-const DRAIN_SHARE = 0.25
+/** Fraction of the targets of a service that may drain at once. */
+const MAX_DRAINING_FRACTION = 0.25
 
-interface DrainPlaces {
-  /** Takes a place of the service; false when none is left. */
-  take(service: string): boolean
+interface DrainSlots {
+  /** Takes a drain slot of the service; returns false if none is left. */
+  tryAcquire(service: string): boolean
 }
 
-function createDrainPlaces(input: OrderInput): DrainPlaces {
-  const { targets, nowMs } = input
+function createDrainSlots(options: PlanOrdersOptions): DrainSlots {
+  const { targets, nowMs } = options
   const sizes = new Map<string, number>()
   for (const { service } of targets)
     sizes.set(service, (sizes.get(service) ?? 0) + 1)
@@ -70,45 +70,48 @@
     if (drain.sinceMs !== undefined || returnsAtMs > nowMs)
       taken.set(service, (taken.get(service) ?? 0) + 1)
   return {
-    take(service) {
-      const places = Math.floor((sizes.get(service) ?? 0) * DRAIN_SHARE)
+    tryAcquire(service) {
+      const limit = Math.floor(
+        (sizes.get(service) ?? 0) * MAX_DRAINING_FRACTION,
+      )
       const used = taken.get(service) ?? 0
-      if (used >= Math.max(1, places)) return false
+      if (used >= Math.max(1, limit)) return false
       taken.set(service, used + 1)
       return true
     },
   }
 }
 
-function drainingFirst(targets: readonly ManagedTarget[]): ManagedTarget[] {
+function sortDrainingFirst(targets: readonly ManagedTarget[]): ManagedTarget[] {
   const isDraining = ({ drain }: ManagedTarget): number =>
     drain.sinceMs === undefined ? 1 : 0
   return [...targets].sort((a, b) => isDraining(a) - isDraining(b))
 }
 
-/** Plans the next step of each target; none without a valid lease. */
-export function planOrders(input: OrderInput): OrderAction[] {
-  const { lease, nowMs } = input
+/** Plans the next step of each target; returns none without a valid lease. */
+export function planOrders(options: PlanOrdersOptions): OrderAction[] {
+  const { lease, nowMs } = options
   if (!lease || nowMs >= lease.validUntilMs) return []
   const actions: OrderAction[] = []
-  let left = input.loads
-  const places = createDrainPlaces(input)
-  for (const target of drainingFirst(input.targets)) {
+  let remainingLoads = options.loads
+  const slots = createDrainSlots(options)
+  for (const target of sortDrainingFirst(options.targets)) {
     const { id, service, desired, observed, drain, strayed } = target
     if (!observed || isSameState(observed, desired)) continue
-    const loads = weightLoads(observed, desired)
+    const loads = countWeightLoads(observed, desired)
     const { token } = lease
     const step = { target: id, loads, state: desired, token }
-    if (loads > left) {
+    if (loads > remainingLoads) {
       actions.push({ ...step, kind: OrderActionKind.AwaitBudget })
       continue
     }
-    const empties = isDestructive(observed, desired)
-    // Wrong answers are worse than fewer targets.
-    const hasPlace = drain.sinceMs !== undefined || strayed
-    if (empties && !hasPlace && !places.take(service)) continue
-    left -= loads
-    const mustDrain = empties && !isDrained(drain)
+    const needsDrain = isDestructive(observed, desired)
+    // A draining target has its slot already. A drifted one drains without a
+    // slot, since wrong responses are worse than fewer targets.
+    const needsNoSlot = drain.sinceMs !== undefined || strayed
+    if (needsDrain && !needsNoSlot && !slots.tryAcquire(service)) continue
+    remainingLoads -= loads
+    const mustDrain = needsDrain && !isDrained(drain)
     const kind = mustDrain ? OrderActionKind.Drain : OrderActionKind.Send
     actions.push({ ...step, kind })
   }
--- a/packages/core/src/node/teams/__tests__/checkChange.test.ts
+++ b/packages/core/src/node/teams/__tests__/checkChange.test.ts
@@ -40,7 +40,7 @@
   return configurationSchema.parse(draft)
 }
 
-function refusal(
+function findReason(
   operator: string | undefined,
   edit: (cfg: Configuration) => void,
 ): string | undefined {
@@ -53,29 +53,34 @@
 }
 
 describe('checkChange', () => {
-  it('lets a team change its own', () => {
-    assert.equal(refusal('ice-editor', setWeight('bridge')), undefined)
+  it('allows a team to change its own entries', () => {
+    assert.equal(findReason('ice-editor', setWeight('bridge')), undefined)
     assert.equal(
-      refusal('ice-editor', (cfg) => {
+      findReason('ice-editor', (cfg) => {
         delete cfg.targets['engine-1']
       }),
       undefined,
     )
     assert.equal(
-      refusal('ice-editor', (cfg) => {
+      findReason('ice-editor', (cfg) => {
         cfg.rules.urgent = { service: 'briefing', customer: 'bridge', rank: 0 }
       }),
       undefined,
     )
   })
 
-  const shut: [string, string, (cfg: Configuration) => void, RegExp][] = [
+  const denied: [string, string, (cfg: Configuration) => void, RegExp][] = [
     ['a viewer', 'ice-viewer', setWeight('bridge'), /role editor/],
     ['an unknown operator', 'nobody', setWeight('bridge'), /not in the conf/],
     ["another team's customer", 'ice-owner', setWeight('firm'), /team labour/],
-    ['a customer of no team', 'ice-owner', setWeight('shared'), /the fleet/],
     [
-      'taking a customer over',
+      'a customer without a team',
+      'ice-owner',
+      setWeight('shared'),
+      /the fleet/,
+    ],
+    [
+      'taking over a customer of another team',
       'ice-owner',
       (cfg) => {
         cfg.customers.firm = {
@@ -88,7 +93,7 @@
       /team labour/,
     ],
     [
-      'giving a customer away',
+      'moving a customer to another team',
       'ice-owner',
       (cfg) => {
         cfg.customers.bridge = { team: 'labour', weight: 1, keys: {} }
@@ -105,7 +110,7 @@
       /team labour/,
     ],
     [
-      'a rule over the whole fleet',
+      'a rule for the whole fleet',
       'ice-owner',
       (cfg) => {
         cfg.rules.all = { rank: 9 }
@@ -159,7 +164,7 @@
       /maxCustomers: the team would have 3 of 2/,
     ],
     [
-      'more in flight than the quota',
+      'more requests in flight than the quota',
       'ice-owner',
       (cfg) => {
         cfg.customers.two = {
@@ -172,7 +177,7 @@
       /maxInFlight: the team would have 31 of 30/,
     ],
     [
-      'a customer without a limit under a quota',
+      'a customer without maxInFlight when the team has that quota',
       'ice-owner',
       (cfg) => {
         cfg.customers.two = { team: 'ice', weight: 1, keys: {} }
@@ -180,21 +185,21 @@
       /each of its customers needs this field/,
     ],
   ]
-  for (const [name, operator, edit, reason] of shut) {
-    it(`refuses ${name}`, () => {
-      assert.match(refusal(operator, edit) ?? 'allowed', reason)
+  for (const [name, operator, edit, reason] of denied) {
+    it(`rejects ${name}`, () => {
+      assert.match(findReason(operator, edit) ?? 'allowed', reason)
     })
   }
 
-  it('lets the bootstrap owner change everything but refuses a missing team', () => {
-    assert.equal(refusal(undefined, setWeight('firm')), undefined)
-    const reason = refusal(undefined, (cfg) => {
+  it('allows the bootstrap owner all changes but rejects an unknown team', () => {
+    assert.equal(findReason(undefined, setWeight('firm')), undefined)
+    const reason = findReason(undefined, (cfg) => {
       cfg.customers.firm = { team: 'nowhere', weight: 1, keys: {} }
     })
     assert.match(reason ?? '', /no team nowhere/)
   })
 
-  it('never lets one team alter what is not its own', () => {
+  it('never lets a team change entries of others', () => {
     const id = fc.constantFrom('bridge', 'firm', 'shared', 'fresh')
     const team = fc.constantFrom('ice', 'labour', undefined)
     const edit = fc.record({ id, team, weight: fc.integer({ min: 1, max: 3 }) })
@@ -213,23 +218,23 @@
 })
 
 describe('findOperator', () => {
-  const made = createOperatorToken('ice-owner')
+  const created = createOperatorToken('ice-owner')
   const cfg = change((draft) => {
     draft.operators['ice-owner'] = {
       team: 'ice',
       role: Role.Owner,
-      token: { ...made.stored, expiresAtMs: 1_000 },
+      token: { ...created.stored, expiresAtMs: 1_000 },
     }
   })
 
   it('finds the operator of a token until it expires', () => {
-    assert.equal(findOperator(cfg, made.text, 999)?.team, 'ice')
-    assert.equal(findOperator(cfg, made.text, 1_000), undefined)
+    assert.equal(findOperator(cfg, created.text, 999)?.team, 'ice')
+    assert.equal(findOperator(cfg, created.text, 1_000), undefined)
   })
 
-  it('refuses other texts', () => {
+  it('rejects other strings', () => {
     const texts = ['', '/', 'ice-owner', 'ice-owner/', '__proto__/x', 'a/b/c']
-    for (const text of [...texts, `${made.text}x`, `${made.text}/x`])
+    for (const text of [...texts, `${created.text}x`, `${created.text}/x`])
       assert.equal(findOperator(cfg, text, 0), undefined, text)
   })
 })
--- a/packages/core/src/node/teams/actor.ts
+++ b/packages/core/src/node/teams/actor.ts
@@ -1,19 +1,22 @@
 import type { Configuration } from '../configuration/configurationSchema.js'
 import { Role } from './role.js'
 
-/** Who asks for a change. */
+/** Operator who requests a change. */
 export interface Actor {
-  /** Id of the operator, or `admin` for the bootstrap owner. */
+  /** Operator id, or `admin` for the bootstrap owner. */
   readonly id: string
   readonly role: Role
   /** Absent for the bootstrap owner, who belongs to no team. */
   readonly team?: string
 }
 
-/** The operator whose token stands in the routers' settings. */
+/** Bootstrap owner, whose secret is in the routers' settings. */
 export const BOOTSTRAP_ACTOR: Actor = { id: 'admin', role: Role.Owner }
 
-/** Returns the operator of a patch record; a record without one is the bootstrap owner's. */
+/**
+ * Returns the operator with the given id, or undefined if there is none.
+ * Without an id, returns the bootstrap owner.
+ */
 export function findActor(
   cfg: Configuration,
   operatorId: string | undefined,
--- a/packages/core/src/node/teams/authorizeChange.ts
+++ b/packages/core/src/node/teams/authorizeChange.ts
@@ -9,32 +9,32 @@
   findChangedFields,
 } from './findChangedEntries.js'
 
-function neededRole(section: Section): Role {
+function requiredRole(section: Section): Role {
   return section === Section.Operators ? Role.Owner : Role.Editor
 }
 
-function refuseEntry(
+function checkEntry(
   before: Configuration,
   after: Configuration,
   actor: Actor,
   entry: ChangedEntry,
 ): string | undefined {
   const path = `/${entry.section}/${entry.id}`
-  const needed = neededRole(entry.section)
+  const needed = requiredRole(entry.section)
   if (!includesRole(actor.role, needed))
     return `${path}: operator ${actor.id} is ${actor.role}; this change needs the role ${needed}`
   for (const cfg of [before, after]) {
     const owner = findEntryOwner(cfg, entry)
     if (owner.kind === OwnerKind.Absent) continue
     if (owner.kind === OwnerKind.Team && owner.team === actor.team) continue
-    const whose =
+    const ownerName =
       owner.kind === OwnerKind.Team ? `team ${owner.team ?? ''}` : 'the fleet'
-    return `${path}: belongs to ${whose}; operator ${actor.id} changes entries of team ${actor.team ?? ''} alone`
+    return `${path}: belongs to ${ownerName}; operator ${actor.id} can change only entries of team ${actor.team ?? ''}`
   }
   return undefined
 }
 
-/** Returns why the actor may not make a change, or undefined when it may. */
+/** Returns why the actor is not allowed to make a change, or undefined if it is. */
 export function authorizeChange(
   before: Configuration,
   after: Configuration,
@@ -44,8 +44,8 @@
   for (const field of findChangedFields(before, after))
     return `/${field}: belongs to the fleet; ask the holder of the administration secret`
   for (const entry of findChangedEntries(before, after)) {
-    const refused = refuseEntry(before, after, actor, entry)
-    if (refused !== undefined) return refused
+    const denied = checkEntry(before, after, actor, entry)
+    if (denied !== undefined) return denied
   }
   return undefined
 }
--- a/packages/core/src/node/teams/checkChange.ts
+++ b/packages/core/src/node/teams/checkChange.ts
@@ -4,8 +4,9 @@
 import { checkTeams } from './checkTeams.js'
 
 /**
- * Returns why a change may not come into force. Depends on the log's records
- * alone, so every router decides the same; expiry of tokens is not looked at.
+ * Returns why a change is rejected, or undefined if it is valid. The result
+ * depends only on records of the log, so that every router decides the same;
+ * token expiry is therefore not checked here.
  */
 export function checkChange(
   before: Configuration,
--- a/packages/core/src/node/teams/checkTeams.ts
+++ b/packages/core/src/node/teams/checkTeams.ts
@@ -1,17 +1,17 @@
 import type { Configuration } from '../configuration/configurationSchema.js'
 
-/** What a team has of everything that a quota bounds. */
+/** Usage of a team for each of its quotas. */
 export interface TeamUsage {
   readonly customers: number
   readonly services: number
   readonly targets: number
   /** Sum of `maxInFlight` over the team's customers. */
   readonly inFlight: number
-  /** Customers of the team that have no `maxInFlight`. */
+  /** Ids of the customers of the team that have no `maxInFlight`. */
   readonly unboundedCustomers: readonly string[]
 }
 
-/** Counts what a team has. */
+/** Computes the usage of a team. */
 export function teamUsage(cfg: Configuration, team: string): TeamUsage {
   const customers = Object.entries(cfg.customers).filter(
     ([, customer]) => customer.team === team,
@@ -53,10 +53,10 @@
   const [unbounded] = usage.unboundedCustomers
   if (quotas.maxInFlight === undefined || unbounded === undefined)
     return undefined
-  return `/customers/${unbounded}/maxInFlight: team ${team} has a quota of requests in flight, so each of its customers needs this field`
+  return `/customers/${unbounded}/maxInFlight: team ${team} has a quota for requests in flight, so each of its customers needs this field`
 }
 
-function unknownTeam(cfg: Configuration): string | undefined {
+function findUnknownTeam(cfg: Configuration): string | undefined {
   const sections = ['customers', 'services', 'operators'] as const
   for (const section of sections) {
     const entries: Record<string, { team?: string }> = cfg[section]
@@ -68,13 +68,13 @@
   return undefined
 }
 
-/** Returns the first broken quota or reference to a missing team. */
+/** Returns the first reference to an unknown team or exceeded quota, if any. */
 export function checkTeams(cfg: Configuration): string | undefined {
-  const unknown = unknownTeam(cfg)
+  const unknown = findUnknownTeam(cfg)
   if (unknown !== undefined) return unknown
   for (const team of Object.keys(cfg.teams)) {
-    const broken = checkQuotas(cfg, team)
-    if (broken !== undefined) return broken
+    const exceeded = checkQuotas(cfg, team)
+    if (exceeded !== undefined) return exceeded
   }
   return undefined
 }
--- a/packages/core/src/node/teams/findChangedEntries.ts
+++ b/packages/core/src/node/teams/findChangedEntries.ts
@@ -1,7 +1,7 @@
 import { isDeepStrictEqual } from 'node:util'
 import type { Configuration } from '../configuration/configurationSchema.js'
 
-/** The parts of the configuration that hold entries by id. */
+/** Sections of the configuration that map ids to entries. */
 export enum Section {
   Customers = 'customers',
   Services = 'services',
@@ -11,30 +11,30 @@
   Operators = 'operators',
 }
 
-/** An entry that differs between two configurations. */
+/** Entry that differs between two configurations. */
 export interface ChangedEntry {
   readonly section: Section
   readonly id: string
 }
 
 /**
- * Returns the entries that differ. Compares the documents rather than the
- * patch, so that a move or the replacement of a whole part hides nothing.
+ * Returns the entries that differ. Compares the documents instead of reading
+ * the patch, so that a move or the replacement of a section hides no change.
  */
 export function findChangedEntries(
   before: Configuration,
   after: Configuration,
 ): ChangedEntry[] {
-  const touched: ChangedEntry[] = []
+  const changed: ChangedEntry[] = []
   for (const section of Object.values(Section)) {
-    const was = before[section] as Record<string, unknown>
-    const is = after[section] as Record<string, unknown>
-    for (const id of new Set([...Object.keys(was), ...Object.keys(is)])) {
-      if (isDeepStrictEqual(was[id], is[id])) continue
-      touched.push({ section, id })
+    const old = before[section] as Record<string, unknown>
+    const current = after[section] as Record<string, unknown>
+    for (const id of new Set([...Object.keys(old), ...Object.keys(current)])) {
+      if (isDeepStrictEqual(old[id], current[id])) continue
+      changed.push({ section, id })
     }
   }
-  return touched
+  return changed
 }
 
 /** Returns the names of top-level fields outside the sections that differ. */
--- a/packages/core/src/node/teams/findEntryOwner.ts
+++ b/packages/core/src/node/teams/findEntryOwner.ts
@@ -1,16 +1,16 @@
 import type { Configuration } from '../configuration/configurationSchema.js'
 import { Section, type ChangedEntry } from './findChangedEntries.js'
 
-/** Whose an entry is. */
+/** Kind of owner of a configuration entry. */
 export enum OwnerKind {
-  /** No such entry. */
+  /** The entry does not exist. */
   Absent = 'absent',
   Team = 'team',
-  /** Nobody but the bootstrap owner's. */
+  /** Only the bootstrap owner can change the entry. */
   Fleet = 'fleet',
 }
 
-/** The owner of an entry. */
+/** Owner of a configuration entry. */
 export interface EntryOwner {
   readonly kind: OwnerKind
   readonly team?: string
@@ -19,46 +19,46 @@
 const ABSENT: EntryOwner = { kind: OwnerKind.Absent }
 const FLEET: EntryOwner = { kind: OwnerKind.Fleet }
 
-function get<T>(entries: Record<string, T>, id: string): T | undefined {
+function getOwn<T>(entries: Record<string, T>, id: string): T | undefined {
   return Object.hasOwn(entries, id) ? entries[id] : undefined
 }
 
-function ownedBy(team: string | undefined): EntryOwner {
+function toOwner(team: string | undefined): EntryOwner {
   return team === undefined ? FLEET : { kind: OwnerKind.Team, team }
 }
 
-function ownerOfRule(cfg: Configuration, id: string): EntryOwner {
-  const rule = get(cfg.rules, id)
+function findRuleOwner(cfg: Configuration, id: string): EntryOwner {
+  const rule = getOwn(cfg.rules, id)
   if (!rule) return ABSENT
-  // A rule without a service would rank requests on other teams' targets.
+  // A rule without a service also applies to services of other teams.
   if (rule.service === undefined) return FLEET
-  const team = get(cfg.services, rule.service)?.team
-  if (rule.customer === undefined) return ownedBy(team)
-  const customerTeam = get(cfg.customers, rule.customer)?.team
-  return customerTeam === team ? ownedBy(team) : FLEET
+  const team = getOwn(cfg.services, rule.service)?.team
+  if (rule.customer === undefined) return toOwner(team)
+  const customerTeam = getOwn(cfg.customers, rule.customer)?.team
+  return customerTeam === team ? toOwner(team) : FLEET
 }
 
-/** Returns whose an entry is: a target's owner is that of its service. */
+/** Returns the owner of an entry; a target has the owner of its service. */
 export function findEntryOwner(
   cfg: Configuration,
   entry: ChangedEntry,
 ): EntryOwner {
   const { section, id } = entry
-  if (get(cfg[section] as Record<string, unknown>, id) === undefined)
+  if (getOwn(cfg[section] as Record<string, unknown>, id) === undefined)
     return ABSENT
   switch (section) {
     case Section.Customers:
-      return ownedBy(get(cfg.customers, id)?.team)
+      return toOwner(getOwn(cfg.customers, id)?.team)
     case Section.Services:
-      return ownedBy(get(cfg.services, id)?.team)
+      return toOwner(getOwn(cfg.services, id)?.team)
     case Section.Operators:
-      return ownedBy(get(cfg.operators, id)?.team)
+      return toOwner(getOwn(cfg.operators, id)?.team)
     case Section.Targets:
-      return ownedBy(
-        get(cfg.services, get(cfg.targets, id)?.service ?? '')?.team,
+      return toOwner(
+        getOwn(cfg.services, getOwn(cfg.targets, id)?.service ?? '')?.team,
       )
     case Section.Rules:
-      return ownerOfRule(cfg, id)
+      return findRuleOwner(cfg, id)
     case Section.Teams:
       return FLEET
   }
--- a/packages/core/src/node/teams/operatorToken.ts
+++ b/packages/core/src/node/teams/operatorToken.ts
@@ -4,19 +4,19 @@
   createSaltedHash,
   matchesSaltedHash,
   type SaltedHash,
-  UNKNOWN_SECRET,
+  DUMMY_HASH,
 } from '../security/saltedHash.js'
 import { type Actor, findActor } from './actor.js'
 
 const SECRET_BYTES = 24
 
-/** A new operator token: `text` goes to the operator, `stored` into the configuration. */
+/** A new operator token: `text` is for the operator, `stored` its salted hash. */
 export interface NewOperatorToken {
   readonly text: string
   readonly stored: SaltedHash
 }
 
-/** Creates a token whose text is `operatorId/secret`. */
+/** Creates an operator token whose text is `operatorId/secret`. */
 export function createOperatorToken(
   operatorId: string,
   secret: string = randomBytes(SECRET_BYTES).toString('base64url'),
@@ -24,7 +24,7 @@
   return { text: `${operatorId}/${secret}`, stored: createSaltedHash(secret) }
 }
 
-/** Returns the operator whose token this is, or undefined for a wrong or expired one. */
+/** Returns the operator of a token, or undefined if the token is invalid or expired. */
 export function findOperator(
   cfg: Configuration,
   text: string,
@@ -36,7 +36,7 @@
   const token = Object.hasOwn(cfg.operators, operatorId)
     ? cfg.operators[operatorId]?.token
     : undefined
-  // An unknown name takes as long as a wrong secret.
-  const matches = matchesSaltedHash(token ?? UNKNOWN_SECRET, secret, nowMs)
+  // Hashes for unknown names too, so that timing does not reveal which names exist.
+  const matches = matchesSaltedHash(token ?? DUMMY_HASH, secret, nowMs)
   return token && matches ? findActor(cfg, operatorId) : undefined
 }
--- a/packages/core/src/node/teams/role.ts
+++ b/packages/core/src/node/teams/role.ts
@@ -1,16 +1,16 @@
-/** What an operator may do, each role including the ones before it. */
+/** Roles of operators; each includes the permissions of those before it. */
 export enum Role {
-  /** Reads. */
+  /** Can read only. */
   Viewer = 'viewer',
-  /** Changes customers, services, targets and rules of the team. */
+  /** Can change customers, services, targets and rules of the team. */
   Editor = 'editor',
-  /** Changes the team's operators as well. */
+  /** Can also change the team's operators. */
   Owner = 'owner',
 }
 
 const ORDER: readonly Role[] = [Role.Viewer, Role.Editor, Role.Owner]
 
-/** Returns whether `role` includes everything that `needed` may do. */
+/** Returns whether `role` includes all permissions of `needed`. */
 export function includesRole(role: Role, needed: Role): boolean {
   return ORDER.indexOf(role) >= ORDER.indexOf(needed)
 }
--- a/packages/core/src/node/teams/teamSchema.ts
+++ b/packages/core/src/node/teams/teamSchema.ts
@@ -4,28 +4,28 @@
 
 const limit = z.int().min(0).optional()
 
-/** Checks what a team may have at most; an absent quota is no limit. */
+/** Schema of the quotas of a team; an absent quota is no limit. */
 export const quotasSchema = z.strictObject({
   maxCustomers: limit,
   maxServices: limit,
   maxTargets: limit,
-  /** Bounds the sum of `maxInFlight` over the team's customers. */
+  /** Limit for the sum of `maxInFlight` over the team's customers. */
   maxInFlight: limit,
 })
 
-/** Checks a team. */
+/** Schema of a team. */
 export const teamSchema = z.strictObject({
   quotas: quotasSchema.prefault({}),
 })
 
-/** Checks an operator. */
+/** Schema of an operator. */
 export const operatorSchema = z.strictObject({
   team: z.string(),
   role: z.enum(Role),
   token: saltedHashSchema,
 })
 
-/** One team of the configuration. */
+/** Quotas of one team. */
 export type TeamConfiguration = z.infer<typeof teamSchema>
-/** One operator of the configuration. */
+/** Team, role and token of one operator. */
 export type OperatorConfiguration = z.infer<typeof operatorSchema>
