--- a/packages/core/src/node/hash/hash32.ts
+++ b/packages/core/src/node/hash/hash32.ts
@@ -2,7 +2,7 @@
 
 const hasher = await xxhash()
 
-/** Hashes `text` to an unsigned 32-bit integer with xxHash32. */
+/** Returns the xxHash32 of `text` as an unsigned 32-bit integer. */
 export function hash32(text: string, seed = 0): number {
   return hasher.h32(text, seed)
 }
--- a/packages/core/src/node/security/redactHashes.ts
+++ b/packages/core/src/node/security/redactHashes.ts
@@ -1,9 +1,9 @@
-/** Stands in place of a hash or salt. */
+/** Replaces a hash or salt in output. */
 export const REDACTED = '(redacted)'
 
 const SECRET_FIELDS = new Set(['salt', 'hash'])
 
-/** Copies a value with every salt and hash replaced. */
+/** Returns a deep copy with every salt and hash redacted. */
 export function redactHashes(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(redactHashes)
   if (typeof value !== 'object' || value === null) return value
@@ -13,7 +13,7 @@
   return copy
 }
 
-/** Copies patch operations without salts and hashes, also where a path names one. */
+/** Redacts salts and hashes in patch operations, also where the path names one. */
 export function redactOperations(
   operations: readonly PatchOperation[],
 ): unknown[] {
@@ -25,7 +25,7 @@
   })
 }
 
-/** The parts of a patch operation that matter here. */
+/** Patch operation to redact. */
 export interface PatchOperation {
   readonly path: string
 }
--- a/packages/core/src/node/security/saltedHash.ts
+++ b/packages/core/src/node/security/saltedHash.ts
@@ -3,38 +3,38 @@
 
 const SALT_BYTES = 12
 
-/** Checks a secret that is kept as a salted hash. */
+/** Schema of a salted hash. */
 export const saltedHashSchema = z.strictObject({
   salt: z.string().min(1),
-  /** SHA-256 of salt and secret, in hexadecimal. */
+  /** SHA-256 of the salt followed by the secret, in hexadecimal. */
   hash: z.string().regex(/^[0-9a-f]{64}$/),
-  /** Milliseconds since the epoch. */
+  /** Expiry in milliseconds since the epoch; never expires if absent. */
   expiresAtMs: z.int().positive().optional(),
 })
 
-/** A random secret as the configuration keeps it. */
+/** Salted hash of a random secret, as stored in the configuration. */
 export type SaltedHash = z.infer<typeof saltedHashSchema>
 
-function digest(salt: string, secret: string): string {
+function hashSecret(salt: string, secret: string): string {
   return createHash('sha256').update(salt).update(secret).digest('hex')
 }
 
-/** Hashes a random secret with a fresh salt. */
+/** Hashes a random secret with a new salt. */
 export function createSaltedHash(secret: string): SaltedHash {
   const salt = randomBytes(SALT_BYTES).toString('base64url')
-  return { salt, hash: digest(salt, secret) }
+  return { salt, hash: hashSecret(salt, secret) }
 }
 
-/** Stands in for the hash of an unknown key; no secret matches it. */
-export const UNKNOWN_SECRET: SaltedHash = { salt: '-', hash: '0'.repeat(64) }
+/** Hash to compare with when a name is unknown; no secret matches it. */
+export const DUMMY_HASH: SaltedHash = { salt: '-', hash: '0'.repeat(64) }
 
-/** Compares a secret with a hash in constant time; an expired one never matches. */
+/** Compares a secret with a hash in constant time; an expired hash never matches. */
 export function matchesSaltedHash(
   stored: SaltedHash,
   secret: string,
   nowMs: number,
 ): boolean {
-  const given = Buffer.from(digest(stored.salt, secret), 'hex')
+  const given = Buffer.from(hashSecret(stored.salt, secret), 'hex')
   const matches = timingSafeEqual(given, Buffer.from(stored.hash, 'hex'))
   const expired =
     stored.expiresAtMs !== undefined && stored.expiresAtMs <= nowMs
--- a/packages/core/src/node/stream/__tests__/createStreamAssembler.test.ts
+++ b/packages/core/src/node/stream/__tests__/createStreamAssembler.test.ts
@@ -13,7 +13,7 @@
   return [...words, '[DONE]'].map((word, index) => event(index, word))
 }
 
-/** Feeds `text` in pieces, as a connection may deliver it. */
+/** Pushes `text` in chunks and returns the forwarded events. */
 function feed(
   assembler: ReturnType<typeof createStreamAssembler>,
   text: string,
@@ -25,11 +25,11 @@
   return passedOn
 }
 
-describe('an event stream cut at any place', () => {
-  it('is whole after resuming, also where the engine repeats events', () => {
+describe('createStreamAssembler', () => {
+  it('reassembles a stream cut anywhere, also if the engine repeats events', () => {
     const word = fc.string({ minLength: 1, maxLength: 8 })
     const cut = fc.record({
-      place: fc.nat(),
+      position: fc.nat(),
       repeats: fc.nat({ max: 3 }),
     })
     fc.assert(
@@ -46,8 +46,8 @@
           const assembler = createStreamAssembler()
           let passedOn = ''
           let rest = whole
-          for (const { place, repeats } of cuts) {
-            const kept = rest.slice(0, place % (rest.length + 1))
+          for (const { position, repeats } of cuts) {
+            const kept = rest.slice(0, position % (rest.length + 1))
             passedOn += feed(assembler, kept, pieceLength)
             const next = assembler.nextEventNumber
             assert.notEqual(next, undefined)
@@ -65,7 +65,7 @@
     )
   })
 
-  it('never passes a hole on', () => {
+  it('forwards nothing after a gap', () => {
     const assembler = createStreamAssembler()
     assert.equal(assembler.push(event(0, 'a')), event(0, 'a'))
     assembler.resume()
@@ -74,13 +74,13 @@
     assert.equal(assembler.push(event(1, 'b')), '')
   })
 
-  it('cannot be resumed where its events are not numbered from 0', () => {
+  it('cannot resume a stream whose events are not numbered from 0', () => {
     const assembler = createStreamAssembler()
     assert.equal(assembler.push('data: a\n\n'), 'data: a\n\n')
     assert.equal(assembler.nextEventNumber, undefined)
   })
 
-  it('refuses a resumed stream without numbers', () => {
+  it('rejects a resumed stream without event numbers', () => {
     const assembler = createStreamAssembler()
     assembler.push(event(0, 'a'))
     assembler.resume()
@@ -88,7 +88,7 @@
     assert.equal(assembler.fault, StreamFault.Unnumbered)
   })
 
-  it('passes nothing on after the end marker', () => {
+  it('forwards nothing after the end marker', () => {
     const assembler = createStreamAssembler()
     assembler.push(event(0, '[DONE]'))
     assert.equal(assembler.push(event(1, 'late')), '')
--- a/packages/core/src/node/stream/createStreamAssembler.ts
+++ b/packages/core/src/node/stream/createStreamAssembler.ts
@@ -1,31 +1,34 @@
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 import { StreamFault } from './streamFault.js'
 
-/** Characters that one unfinished event may hold. */
+/** Maximum length of an incomplete event, in characters. */
 export const MAX_EVENT_CHARS = 4 * 1024 * 1024
 
 const END_MARKER = '[DONE]'
 const EVENT_NUMBER = /^(0|[1-9]\d{0,14})$/
 
-/** Joins the pieces of an event stream that arrive over several connections. */
+/**
+ * Reassembles an event stream that arrives over several connections, without
+ * gaps or repeated events.
+ */
 export interface StreamAssembler {
-  /** Takes in text of the current connection; returns the whole events to pass on. */
+  /** Parses text from the current connection; returns the complete events to forward. */
   push(text: string): string
-  /** Starts on the next connection: forgets the unfinished event. */
+  /** Switches to the next connection and discards an incomplete event. */
   resume(): void
-  /** Number of the event to resume from; undefined where that is not possible. */
+  /** Number of the event to resume from; undefined if events are not numbered from 0. */
   readonly nextEventNumber: number | undefined
-  /** Whether the end marker has come. */
+  /** Whether the end marker was received. */
   readonly done: boolean
   readonly fault: StreamFault | undefined
 }
 
-function numberOf(event: EventSourceMessage): number | undefined {
+function parseEventNumber(event: EventSourceMessage): number | undefined {
   const id = event.id ?? ''
   return EVENT_NUMBER.test(id) ? Number(id) : undefined
 }
 
-function format(message: EventSourceMessage): string {
+function formatEvent(message: EventSourceMessage): string {
   const { id, event, data } = message
   const lines = data.split('\n').map((line) => `data: ${line}\n`)
   if (event !== undefined) lines.unshift(`event: ${event}\n`)
@@ -33,7 +36,10 @@
   return `${lines.join('')}\n`
 }
 
-/** Creates an assembler; events number from 0 where the engine can resume. */
+/**
+ * Creates an assembler. A stream can be resumed if the event ids are numbers
+ * that count up from 0.
+ */
 export function createStreamAssembler(): StreamAssembler {
   let output = ''
   let expected = 0
@@ -43,7 +49,7 @@
   let fault: StreamFault | undefined
 
   function accepts(event: EventSourceMessage): boolean {
-    const number = numberOf(event)
+    const number = parseEventNumber(event)
     if (!resumed) {
       numbered &&= number === expected
       return true
@@ -57,7 +63,7 @@
     if (done || fault !== undefined) return
     if (!accepts(event)) return
     expected += 1
-    output += format(event)
+    output += formatEvent(event)
     done = event.data === END_MARKER
   }
 
--- a/packages/core/src/node/stream/streamFault.ts
+++ b/packages/core/src/node/stream/streamFault.ts
@@ -1,9 +1,9 @@
-/** Why a stream cannot be passed on any further. */
+/** Reasons why a stream cannot be forwarded any further. */
 export enum StreamFault {
-  /** Events between the last one passed on and the next are missing. */
+  /** Events after the last forwarded one are missing. */
   Gap = 'gap',
-  /** A resumed stream does not number its events. */
+  /** A resumed stream has events without a number. */
   Unnumbered = 'unnumbered',
-  /** One event is larger than the limit. */
+  /** An event exceeds `MAX_EVENT_CHARS`. */
   EventTooLarge = 'event-too-large',
 }
--- a/packages/core/src/node/verdict/__tests__/attemptProgress.test.ts
+++ b/packages/core/src/node/verdict/__tests__/attemptProgress.test.ts
@@ -10,8 +10,8 @@
 
 const SEED = 501
 
-describe('verdicts of several attempts', () => {
-  it('say "not run" only where no attempt can have run', () => {
+describe('combineVerdicts', () => {
+  it('returns "not run" only if no attempt can have run', () => {
     const progress = fc.constantFrom(...Object.values(AttemptProgress))
     fc.assert(
       fc.property(fc.array(progress, { minLength: 1 }), (attempts) => {
--- a/packages/core/src/node/verdict/attemptProgress.ts
+++ b/packages/core/src/node/verdict/attemptProgress.ts
@@ -1,18 +1,18 @@
 import { Verdict } from './verdict.js'
 
-/** How far a request came towards a target in one attempt. */
+/** How far an attempt to send a request to a target got. */
 export enum AttemptProgress {
-  /** No byte was handed to a connection. */
+  /** No bytes were written to a connection. */
   NothingWritten = 'nothing-written',
-  /** Bytes were handed to a connection; no answer came. */
+  /** Bytes were written to a connection, but no response was received. */
   Written = 'written',
-  /** The target answered that it refused the request before running it. */
+  /** The target responded that it rejected the request before running it. */
   Refused = 'refused',
-  /** The head of the target's own answer came. */
+  /** The response headers of the target were received. */
   Answered = 'answered',
 }
 
-/** Returns the verdict of an attempt that failed after `progress`. */
+/** Returns the verdict on an attempt that failed after `progress`. */
 export function verdictOfAttempt(progress: AttemptProgress): Verdict {
   switch (progress) {
     case AttemptProgress.NothingWritten:
@@ -25,13 +25,13 @@
   }
 }
 
-const CERTAINTY_OF_RUN: Readonly<Record<Verdict, number>> = {
+const VERDICT_ORDER: Readonly<Record<Verdict, number>> = {
   [Verdict.NotRun]: 0,
   [Verdict.MayHaveRun]: 1,
   [Verdict.Ran]: 2,
 }
 
-/** Returns the verdict on a request from those on two of its attempts. */
+/** Returns the verdict on a request from the verdicts on two of its attempts. */
 export function combineVerdicts(first: Verdict, second: Verdict): Verdict {
-  return CERTAINTY_OF_RUN[second] > CERTAINTY_OF_RUN[first] ? second : first
+  return VERDICT_ORDER[second] > VERDICT_ORDER[first] ? second : first
 }
--- a/packages/core/src/node/verdict/failureCode.ts
+++ b/packages/core/src/node/verdict/failureCode.ts
@@ -1,4 +1,4 @@
-/** Names the cause of a failed request; sent to the caller as `error.code`. */
+/** Cause of a failed request, sent to the caller as `error.code`. */
 export enum FailureCode {
   BadRequest = 'bad-request',
   MissingKey = 'missing-key',
--- a/packages/core/src/node/verdict/verdict.ts
+++ b/packages/core/src/node/verdict/verdict.ts
@@ -1,9 +1,9 @@
-/** Says whether a request may have run on a target. */
+/** Whether a request may have run on a target. */
 export enum Verdict {
-  /** Provably nothing of the request reached a target. */
+  /** The request provably did not run on any target. */
   NotRun = 'not-run',
   /** The request may or may not have run. */
   MayHaveRun = 'may-have-run',
-  /** The target answered the request. */
+  /** A target responded to the request. */
   Ran = 'ran',
 }
