--- a/packages/core/src/node/claims/claimRecord.ts
+++ b/packages/core/src/node/claims/claimRecord.ts
@@ -20,7 +20,7 @@
     /** Digest of the request, to detect reuse of a key for another request. */
     digest: z.string().min(1),
   }),
-  /** The holder of the claim will not dispatch the request. */
+  /** The holder of the claim will never dispatch the request. */
   z.object({ ...base, kind: z.literal(ClaimRecordKind.Release) }),
   z.object({
     ...base,
--- a/packages/core/src/node/configuration/applyRecords.ts
+++ b/packages/core/src/node/configuration/applyRecords.ts
@@ -21,7 +21,7 @@
   readonly outcomes: readonly PatchOutcome[]
 }
 
-const MAX_REASON_LENGTH = 300
+const MAX_REASON_CHARS = 300
 
 interface ApplyProgress {
   state: ConfigurationState
@@ -50,7 +50,7 @@
     outcome: {
       ...base,
       kind: PatchOutcomeKind.Invalid,
-      reason: reason.slice(0, MAX_REASON_LENGTH),
+      reason: reason.slice(0, MAX_REASON_CHARS),
     },
   })
   if (record.schema < schema)
--- a/packages/core/src/node/configuration/chooseDigestPeers.ts
+++ b/packages/core/src/node/configuration/chooseDigestPeers.ts
@@ -11,8 +11,8 @@
  * Chooses the peers that a router exchanges heartbeats with.
  *
  * A small fleet is a full mesh. In a larger one, the routers of a data centre
- * form a tree in which each router contacts two parents; the routers at the
- * root also contact other data centres.
+ * form a tree in which each router contacts two parents; the routers of the
+ * first level also contact other data centres.
  */
 export function chooseDigestPeers(
   self: RouterLocation,
--- a/packages/core/src/node/configuration/patchInPlace.ts
+++ b/packages/core/src/node/configuration/patchInPlace.ts
@@ -15,7 +15,7 @@
 function pathExists(
   draft: unknown,
   path: string,
-  includesLast: boolean,
+  requireLast: boolean,
 ): boolean {
   const tokens = parsePointer(path)
   if (!tokens) return false
@@ -23,7 +23,7 @@
   let parent = draft
   for (const token of tokens) parent = getOwn(parent, token)
   if (typeof parent !== 'object' || parent === null) return false
-  if (last === undefined || !includesLast) return true
+  if (last === undefined || !requireLast) return true
   return getOwn(parent, last) !== undefined
 }
 
--- a/packages/core/src/node/configuration/patchRecord.ts
+++ b/packages/core/src/node/configuration/patchRecord.ts
@@ -11,7 +11,7 @@
 /** Schema of a patch record on the configuration stream. */
 export const patchRecordSchema = z.strictObject({
   type: z.literal('patch'),
-  /** Schema version of the router that accepted the patch. */
+  /** Schema version that the accepting router validated with. */
   schema: z.int().min(1).max(CONFIGURATION_SCHEMA),
   patchId: z.string().min(1).max(64),
   baseVersion: z.int().min(0),
--- a/packages/core/src/node/orders/planOrders.ts
+++ b/packages/core/src/node/orders/planOrders.ts
@@ -83,9 +83,9 @@
 }
 
 function sortDrainingFirst(targets: readonly ManagedTarget[]): ManagedTarget[] {
-  const isDraining = ({ drain }: ManagedTarget): number =>
+  const sortKey = ({ drain }: ManagedTarget): number =>
     drain.sinceMs === undefined ? 1 : 0
-  return [...targets].sort((a, b) => isDraining(a) - isDraining(b))
+  return [...targets].sort((a, b) => sortKey(a) - sortKey(b))
 }
 
 /** Plans the next step of each target; returns none without a valid lease. */
