--- a/packages/router/src/node/constants.ts
+++ b/packages/router/src/node/constants.ts
@@ -1,44 +1,44 @@
-/** Milliseconds between two digests to peers; a fifth of the second in which load moves. */
+/** Interval of digests to peers, in milliseconds: five within the second in which load changes. */
 export const DIGEST_INTERVAL_MS = 200
-/** Milliseconds within which peers learn of a new prompt, before they place it elsewhere. */
+/** Delay of a scheduled broadcast, in milliseconds: peers learn of a new prompt before they send it elsewhere. */
 export const BROADCAST_DELAY_MS = 20
-/** Peers that one digest goes to; keeps 5 digests/s of some 200 bytes within 27 KB/s. */
+/** Peers that receive one digest; keeps 5 digests/s of about 200 bytes each within 27 KB/s. */
 export const DIGEST_FANOUT = 16
-/** Digests that may be lost before a peer's counts are no longer used. */
+/** Digests that may be lost before a peer's counts are ignored as stale. */
 export const MAX_LOST_DIGESTS = 5
-/** Milliseconds of silence after which a peer counts as lost. */
+/** Milliseconds without a digest after which a peer counts as lost. */
 export const PEER_TIMEOUT_MS = 2_000
-/** Milliseconds between two digests to a lost peer. */
+/** Interval of digests to a lost peer, in milliseconds. */
 export const PEER_PROBE_INTERVAL_MS = 1_000
-/** Milliseconds of silence after which a peer is forgotten; restarts take seconds. */
+/** Milliseconds without a digest after which a peer is removed; a restart takes seconds. */
 export const PEER_EXPIRY_MS = 60_000
-/** Milliseconds between two tries to enter the list of routers. */
+/** Milliseconds between two attempts to register in the router directory. */
 export const DIRECTORY_RETRY_MS = 500
-/** Milliseconds between two readings of the list of routers, for each 16 routers listed. */
+/** Milliseconds between two polls of the router directory, for each 16 routers listed. */
 export const DIRECTORY_POLL_MS = 15_000
-/** Milliseconds after an outage within which lost entries of targets come back. */
+/** Milliseconds after an outage of the target list within which lost entries return. */
 export const REJOIN_WINDOW_MS = 2_200
-/** Outages shorter than this, in milliseconds, lose no entries of targets. */
+/** Outages of the target list up to this length, in milliseconds, lose no entries. */
 export const SHORT_OUTAGE_MS = 1_000
-/** Ages of a peer's reading up to which this router need not read that fit into the time in which a change must be in force. */
+/** A peer's last poll is fresh for the time in which a change must take effect, divided by this. */
 export const READER_AGE_DIVISOR = 2
-/** Readings of the list of targets within the time that a leaving one may still get work. */
+/** Polls of the target list within the time that a draining target may still get requests. */
 export const POLLS_PER_DRAIN = 4
-/** Milliseconds until a connection to a target must be open. */
+/** Timeout for opening a connection to a target, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 300
-/** Milliseconds that a connection to a target is kept without a request. */
+/** Milliseconds that an idle connection to a target is kept open. */
 export const KEEP_ALIVE_TIMEOUT_MS = 2_000
-/** Milliseconds after the order to stop until the balancer surely sends nothing more. */
+/** Milliseconds after the stop signal by which the load balancer has stopped sending requests. */
 export const LOAD_BALANCER_DELAY_MS = 3_000
-/** Milliseconds before the end of the grace period at which requests are broken off. */
+/** Milliseconds before the end of the grace period at which remaining requests are aborted. */
 export const STOP_MARGIN_MS = 400
-/** Milliseconds between two looks at whether all requests have ended. */
+/** Interval of checks whether all requests have ended, in milliseconds. */
 export const STOP_CHECK_MS = 50
-/** Routers that share the retry allowance while no peer is known. */
+/** Routers assumed to share the retry budget while no peer is known. */
 export const DEFAULT_ROUTER_COUNT = 10
-/** Prompts whose targets a router remembers; a prompt takes some 200 bytes. */
+/** Prompts whose cache locations a router remembers, at about 200 bytes each. */
 export const MAX_CACHE_LOCATIONS = 10_000
-/** Milliseconds without a turn of the loop after which a router doubts what it knew. */
+/** Milliseconds without a turn of the event loop after which the target list is invalidated. */
 export const EVENT_LOOP_PAUSE_MS = 700
-/** Milliseconds that a target may owe answers and send nothing; several times what a loaded one takes. */
+/** Milliseconds that a target with requests in flight may send nothing; several times what a loaded one takes. */
 export const STALL_TIMEOUT_MS = 1_000
--- a/packages/router/src/node/health/classifyFailure.ts
+++ b/packages/router/src/node/health/classifyFailure.ts
@@ -1,21 +1,21 @@
 import { TargetFailureCause } from '../targets/targetFailure.js'
 
-/** What a failed send says of its target. */
+/** How the router reacts to a failed send. */
 export interface FailureHandling {
   /** Whether the failure counts against the target's health. */
   readonly countsAgainstHealth: boolean
-  /** Milliseconds for which the target gets no work; 0 for none. */
+  /** Milliseconds for which the target gets no requests; 0 for none. */
   readonly avoidMs: number
-  /** Whether kept connections to the target are given up. */
+  /** Whether open connections to the target are discarded. */
   readonly discardsConnections: boolean
 }
 
-/** Milliseconds for which a target that cannot be reached gets no work. */
-const UNREACHABLE_AVOIDED_MS = 1_000
-/** Milliseconds for which a target that refused gets no work. */
-const REFUSED_AVOIDED_MS = 150
+/** Milliseconds for which an unreachable target gets no requests. */
+const UNREACHABLE_AVOID_MS = 1_000
+/** Milliseconds for which a target that refused a request gets no others. */
+const REFUSED_AVOID_MS = 150
 
-/** Judges a target by why a send to it failed; being full is no fault. */
+/** Classifies a failed send by its cause; a refusal of a full target is not a fault. */
 export function classifyFailure(cause: TargetFailureCause): FailureHandling {
   switch (cause) {
     case TargetFailureCause.Aborted:
@@ -27,14 +27,14 @@
     case TargetFailureCause.Refused:
       return {
         countsAgainstHealth: false,
-        avoidMs: REFUSED_AVOIDED_MS,
+        avoidMs: REFUSED_AVOID_MS,
         discardsConnections: false,
       }
     case TargetFailureCause.Unreachable:
     case TargetFailureCause.WrongTarget:
       return {
         countsAgainstHealth: false,
-        avoidMs: UNREACHABLE_AVOIDED_MS,
+        avoidMs: UNREACHABLE_AVOID_MS,
         discardsConnections: true,
       }
     case TargetFailureCause.Broken:
--- a/packages/router/src/node/health/constants.ts
+++ b/packages/router/src/node/health/constants.ts
@@ -1,6 +1,6 @@
 import type { HealthOptions } from '@auburnbay/core/health/healthOptions'
 
-/** When targets are ejected; half of a service stays in any case. */
+/** Thresholds of outlier ejection; at least half of a service's targets stay eligible. */
 export const HEALTH_OPTIONS: HealthOptions = {
   consecutiveFailures: 3,
   rateOutcomes: 12,
--- a/packages/router/src/node/health/createStallDetector.ts
+++ b/packages/router/src/node/health/createStallDetector.ts
@@ -1,44 +1,44 @@
-/** Notices targets that owe answers and send nothing at all. */
+/** Detects targets that have requests in flight and send nothing. */
 export interface StallDetector {
   recordSent(targetId: string, nowMs: number): void
-  /** Bytes of any answer came from the target. */
+  /** Records that bytes of any response came from the target. */
   recordActivity(targetId: string, nowMs: number): void
-  /** A request to the target ended, with or without an answer. */
+  /** Records the end of a request, with or without a response. */
   recordEnd(targetId: string): void
   isStalled(targetId: string, nowMs: number): boolean
 }
 
-interface Owed {
+interface InFlight {
   requests: number
-  /** Since when answers are owed and nothing came. */
-  sinceMs: number
+  /** Time of the last byte, or of the first request in flight if none came. */
+  activeAtMs: number
 }
 
 /**
- * Creates a watch.
- * @param silentMs Milliseconds that a target may owe answers and send nothing.
+ * Creates a stall detector.
+ * @param timeoutMs Milliseconds that a target with requests in flight may send nothing.
  */
-export function createStallDetector(silentMs: number): StallDetector {
-  const owed = new Map<string, Owed>()
+export function createStallDetector(timeoutMs: number): StallDetector {
+  const inFlight = new Map<string, InFlight>()
   return {
     recordSent(targetId, nowMs) {
-      const target = owed.get(targetId)
+      const target = inFlight.get(targetId)
       if (target) target.requests += 1
-      else owed.set(targetId, { requests: 1, sinceMs: nowMs })
+      else inFlight.set(targetId, { requests: 1, activeAtMs: nowMs })
     },
     recordActivity(targetId, nowMs) {
-      const target = owed.get(targetId)
-      if (target) target.sinceMs = nowMs
+      const target = inFlight.get(targetId)
+      if (target) target.activeAtMs = nowMs
     },
     recordEnd(targetId) {
-      const target = owed.get(targetId)
+      const target = inFlight.get(targetId)
       if (!target) return
       target.requests -= 1
-      if (target.requests === 0) owed.delete(targetId)
+      if (target.requests === 0) inFlight.delete(targetId)
     },
     isStalled(targetId, nowMs) {
-      const target = owed.get(targetId)
-      return target !== undefined && nowMs - target.sinceMs > silentMs
+      const target = inFlight.get(targetId)
+      return target !== undefined && nowMs - target.activeAtMs > timeoutMs
     },
   }
 }
--- a/packages/router/src/node/health/createTargetHealth.ts
+++ b/packages/router/src/node/health/createTargetHealth.ts
@@ -7,20 +7,20 @@
 import type { TargetOutcome } from '@auburnbay/core/health/targetOutcome'
 import type { Target } from '../targets/target.js'
 
-/** Which targets requests may go to, judged by how requests ended. */
+/** Outlier ejection of targets by the outcomes of their requests. */
 export interface TargetHealth {
-  /** Returns those of a service's targets that may get a request now. */
+  /** Returns the targets of a service that may get a request now; all if none may. */
   eligible(
     service: string,
     targets: readonly Target[],
     nowMs: number,
   ): readonly Target[]
   record(target: Target, outcome: TargetOutcome, nowMs: number): void
-  /** Gives a target no work for `forMs`, unless nothing else is left. */
+  /** Excludes a target for `forMs` milliseconds, unless no other is left. */
   avoid(targetId: string, forMs: number, nowMs: number): void
 }
 
-/** Creates health in which every target is eligible. */
+/** Creates target health in which every target is eligible. */
 export function createTargetHealth(
   options: HealthOptions,
   onChange: (target: Target, change: HealthChange) => void,
@@ -53,10 +53,10 @@
   return {
     eligible(service, targets, nowMs) {
       const health = healthOf(service, targets)
-      const open = targets.filter(
+      const available = targets.filter(
         ({ id }) => !isAvoided(id, nowMs) && health.isEligible(id, true, nowMs),
       )
-      return open.length > 0 ? open : targets
+      return available.length > 0 ? available : targets
     },
     record(target, outcome, nowMs) {
       const health = services.get(target.service)
--- a/packages/router/src/node/limits/__tests__/createRetryBudget.test.ts
+++ b/packages/router/src/node/limits/__tests__/createRetryBudget.test.ts
@@ -22,8 +22,8 @@
   return times.filter((at) => at > untilMs - WINDOW_MS && at <= untilMs).length
 }
 
-describe('createRetryAllowance', () => {
-  it('keeps the second sends of three routers within the bound of every window', () => {
+describe('createRetryBudget', () => {
+  it('keeps the retries of three routers within the bound in every window', () => {
     fc.assert(
       fc.property(
         fc.array(step, { minLength: 200, maxLength: 900 }),
@@ -32,7 +32,7 @@
             createRetryBudget({ bounds: () => BOUNDS, routerCount: () => 3 }),
           )
           const requests: number[] = []
-          const sends: number[] = []
+          const retries: number[] = []
           let nowMs = 0
           for (const { afterMs, router, isRequest } of steps) {
             nowMs += afterMs
@@ -40,14 +40,14 @@
               requests.push(nowMs)
               routers[router]?.recordRequest(nowMs)
             } else if (routers[router]?.tryAcquire(nowMs)) {
-              sends.push(nowMs)
+              retries.push(nowMs)
               const earned = Math.max(
                 countIn(requests, nowMs),
                 countIn(requests, nowMs - WINDOW_MS / 2),
                 countIn(requests, nowMs - WINDOW_MS),
               )
               const bound = BOUNDS.ratio * earned + BOUNDS.allowance
-              assert.ok(countIn(sends, nowMs) <= bound)
+              assert.ok(countIn(retries, nowMs) <= bound)
             }
           }
         },
@@ -56,13 +56,13 @@
     )
   })
 
-  it('lets a fleet without requests send some, and not without end', () => {
-    const allowance = createRetryBudget({
+  it('grants a limited number of retries without requests', () => {
+    const budget = createRetryBudget({
       bounds: () => BOUNDS,
       routerCount: () => 1,
     })
-    let taken = 0
-    for (let i = 0; i < 200; i += 1) if (allowance.tryAcquire(1_000)) taken += 1
-    assert.ok(taken > 0 && taken <= BOUNDS.allowance)
+    let granted = 0
+    for (let i = 0; i < 200; i += 1) if (budget.tryAcquire(1_000)) granted += 1
+    assert.ok(granted > 0 && granted <= BOUNDS.allowance)
   })
 })
--- a/packages/router/src/node/limits/createHeaderTimeout.ts
+++ b/packages/router/src/node/limits/createHeaderTimeout.ts
@@ -1,30 +1,30 @@
-/** How long an answer may be awaited before another target is asked. */
+/** How long to wait for response headers before sending to another target. */
 export interface HeaderTimeout {
-  /** Notes how long a target took to the head of an answer. */
+  /** Records how long a target took to send response headers. */
   recordHeaderTime(route: string, ms: number): void
-  /** Returns the milliseconds to wait for the head of an answer on a route. */
+  /** Returns the milliseconds to wait for response headers on a route. */
   timeoutMs(route: string, targetLatencyMs: number): number
 }
 
-/** Part of the target latency after which another target may still be in time. */
-const LATENCY_PART = 0.5
-/** Times the usual time to the head; beyond it an answer is taken for lost. */
-const USUAL_TIMES = 4
-/** Part of a new time in the moving average. */
-const NEW_PART = 0.1
+/** Fraction of the target latency after which another target may still respond within it. */
+const LATENCY_FRACTION = 0.5
+/** Multiple of the mean header time beyond which a response counts as lost. */
+const MEAN_MULTIPLE = 4
+/** Weight of a new sample in the moving average. */
+const SAMPLE_WEIGHT = 0.1
 
-/** Creates a patience that knows no times yet. */
+/** Creates a header timeout without samples. */
 export function createHeaderTimeout(): HeaderTimeout {
-  const usualMs = new Map<string, number>()
+  const meanMs = new Map<string, number>()
   return {
     recordHeaderTime(route, ms) {
-      const usual = usualMs.get(route) ?? ms
-      usualMs.set(route, usual + NEW_PART * (ms - usual))
+      const mean = meanMs.get(route) ?? ms
+      meanMs.set(route, mean + SAMPLE_WEIGHT * (ms - mean))
     },
     timeoutMs(route, targetLatencyMs) {
-      const usual = usualMs.get(route) ?? 0
-      // While every target is slow, asking another one makes it worse.
-      return Math.max(LATENCY_PART * targetLatencyMs, USUAL_TIMES * usual)
+      const mean = meanMs.get(route) ?? 0
+      // While every target is slow, sending to another one only adds load.
+      return Math.max(LATENCY_FRACTION * targetLatencyMs, MEAN_MULTIPLE * mean)
     },
   }
 }
--- a/packages/router/src/node/limits/createRetryBudget.ts
+++ b/packages/router/src/node/limits/createRetryBudget.ts
@@ -1,39 +1,39 @@
-/** Bounds on the second sends of all routers to a service. */
+/** Bounds on the retries that all routers send to a service. */
 export interface RetryBounds {
-  /** Second sends for each request. */
+  /** Retries per request. */
   readonly ratio: number
-  /** Second sends in a window beyond the ratio. */
+  /** Retries in a window on top of the ratio. */
   readonly allowance: number
   /** Length of the window, in seconds. */
   readonly windowS: number
 }
 
-/** What an allowance is worked out from. */
+/** Options for {@link createRetryBudget}. */
 export interface RetryBudgetOptions {
   readonly bounds: () => RetryBounds
-  /** Routers that share the allowance. */
+  /** Returns the number of routers that share the allowance. */
   readonly routerCount: () => number
 }
 
-/** Keeps the second sends of one service within the fleet's bound. */
+/** Keeps the retries to one service within the fleet's bound. */
 export interface RetryBudget {
   recordRequest(nowMs: number): void
-  /** Takes one second send; false when this router's part is spent. */
+  /** Consumes one retry; returns false if this router's share is used up. */
   tryAcquire(nowMs: number): boolean
 }
 
-/** Part of the bound that routers use; the rest covers a router too many. */
-const USED_PART = 0.7
+/** Fraction of the bound that routers use; the rest covers one router more than counted. */
+const USED_FRACTION = 0.7
 const MS_PER_S = 1_000
 
-/** Counts in buckets of a second. */
+/** Counts events in buckets of one second. */
 function createBuckets() {
   const counts = new Map<number, number>()
   return {
     add(second: number): void {
       counts.set(second, (counts.get(second) ?? 0) + 1)
     },
-    /** Sums the last `seconds` buckets and forgets older ones. */
+    /** Sums the last `seconds` buckets and removes older ones. */
     sum(second: number, seconds: number): number {
       let total = 0
       for (const [key, count] of counts) {
@@ -45,10 +45,10 @@
   }
 }
 
-/** Creates an allowance; nothing is shared but the number of routers. */
+/** Creates a retry budget; routers share no state but their number. */
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
   const requests = createBuckets()
-  const sends = createBuckets()
+  const retries = createBuckets()
   const secondOf = (nowMs: number) => Math.floor(nowMs / MS_PER_S)
 
   return {
@@ -59,11 +59,11 @@
       const { ratio, allowance, windowS } = options.bounds()
       const second = secondOf(nowMs)
       const earned = ratio * requests.sum(second, windowS)
-      const own = allowance / Math.max(1, options.routerCount())
-      // One bucket more than the window covers every span of its length.
-      const spent = sends.sum(second, windowS + 1)
-      if (spent + 1 > USED_PART * (earned + own)) return false
-      sends.add(second)
+      const allowanceShare = allowance / Math.max(1, options.routerCount())
+      // A window may begin within a second, so one more bucket is summed.
+      const spent = retries.sum(second, windowS + 1)
+      if (spent + 1 > USED_FRACTION * (earned + allowanceShare)) return false
+      retries.add(second)
       return true
     },
   }
--- a/packages/router/src/node/limits/createRetryBudgets.ts
+++ b/packages/router/src/node/limits/createRetryBudgets.ts
@@ -4,14 +4,14 @@
   type RetryBudgetOptions,
 } from './createRetryBudget.js'
 
-/** Returns the allowance of each service, made when it is first asked for. */
+/** Returns a lookup of retry budgets by service; each is created on first use. */
 export function createRetryBudgets(
   options: RetryBudgetOptions,
 ): (service: string) => RetryBudget {
-  const allowances = new Map<string, RetryBudget>()
+  const budgets = new Map<string, RetryBudget>()
   return (service) => {
-    const allowance = allowances.get(service) ?? createRetryBudget(options)
-    allowances.set(service, allowance)
-    return allowance
+    const budget = budgets.get(service) ?? createRetryBudget(options)
+    budgets.set(service, budget)
+    return budget
   }
 }
--- a/packages/router/src/node/routing/__tests__/createCacheLocations.test.ts
+++ b/packages/router/src/node/routing/__tests__/createCacheLocations.test.ts
@@ -2,38 +2,38 @@
 import { describe, it } from 'node:test'
 import { createCacheLocations } from '../createCacheLocations.js'
 
-describe('createPlacements', () => {
-  it('tells what this router placed, once, and not what it heard', () => {
-    const placements = createCacheLocations(10)
-    placements.add('a', 't1')
-    placements.merge([['b', 't2']])
-    assert.deepEqual(placements.takeUpdates(), [['a', 't1']])
-    assert.deepEqual(placements.takeUpdates(), [])
-    assert.deepEqual(placements.cachedOn('b'), ['t2'])
+describe('createCacheLocations', () => {
+  it('reports what this router added, once, and not what it merged', () => {
+    const locations = createCacheLocations(10)
+    locations.add('a', 't1')
+    locations.merge([['b', 't2']])
+    assert.deepEqual(locations.takeUpdates(), [['a', 't1']])
+    assert.deepEqual(locations.takeUpdates(), [])
+    assert.deepEqual(locations.cachedOn('b'), ['t2'])
   })
 
-  it('keeps the latest holders of a prompt in front', () => {
-    const placements = createCacheLocations(10)
-    for (const id of ['t1', 't2', 't1', 't3', 't4']) placements.add('a', id)
-    assert.deepEqual(placements.cachedOn('a'), ['t4', 't3', 't1'])
-    assert.deepEqual(placements.all(), [['a', 't4']])
+  it('returns the latest targets of a prompt first', () => {
+    const locations = createCacheLocations(10)
+    for (const id of ['t1', 't2', 't1', 't3', 't4']) locations.add('a', id)
+    assert.deepEqual(locations.cachedOn('a'), ['t4', 't3', 't1'])
+    assert.deepEqual(locations.all(), [['a', 't4']])
   })
 
-  it('forgets a target that did not get a prompt', () => {
-    const placements = createCacheLocations(10)
-    placements.add('a', 't1')
-    placements.add('a', 't2')
-    placements.remove('a', 't2')
-    assert.deepEqual(placements.cachedOn('a'), ['t1'])
-    assert.deepEqual(placements.takeUpdates(), [])
-    placements.remove('a', 't1')
-    assert.deepEqual(placements.cachedOn('a'), [])
+  it('removes a target that did not run the request', () => {
+    const locations = createCacheLocations(10)
+    locations.add('a', 't1')
+    locations.add('a', 't2')
+    locations.remove('a', 't2')
+    assert.deepEqual(locations.cachedOn('a'), ['t1'])
+    assert.deepEqual(locations.takeUpdates(), [])
+    locations.remove('a', 't1')
+    assert.deepEqual(locations.cachedOn('a'), [])
   })
 
-  it('forgets the prompts that were not used for longest', () => {
-    const placements = createCacheLocations(2)
-    for (const key of ['a', 'b', 'c']) placements.add(key, 't')
-    assert.deepEqual(placements.cachedOn('a'), [])
-    assert.deepEqual(placements.cachedOn('c'), ['t'])
+  it('evicts the least recently used prompts', () => {
+    const locations = createCacheLocations(2)
+    for (const key of ['a', 'b', 'c']) locations.add(key, 't')
+    assert.deepEqual(locations.cachedOn('a'), [])
+    assert.deepEqual(locations.cachedOn('c'), ['t'])
   })
 })
--- a/packages/router/src/node/routing/__tests__/createFleetLoad.test.ts
+++ b/packages/router/src/node/routing/__tests__/createFleetLoad.test.ts
@@ -6,7 +6,7 @@
 
 const STALE_MS = 1_000
 const TARGETS = ['a', 'b', 'c']
-const work = fc
+const loadByTarget = fc
   .array(fc.tuple(fc.constantFrom(...TARGETS), fc.integer({ min: 1, max: 9 })))
   .map(
     (entries) =>
@@ -17,40 +17,37 @@
         ]),
       ),
   )
-const heard = fc.record({
+const report = fc.record({
   router: fc.constantFrom('r1', 'r2', 'r3'),
   afterMs: fc.nat(700),
-  work,
+  loadByTarget,
 })
 
-describe('the load of the fleet', () => {
-  it('is what each router told last, as long as it is not stale', () => {
+describe('createFleetLoad', () => {
+  it('sums the last report of each router that is not stale', () => {
     fc.assert(
-      fc.property(fc.array(heard, { maxLength: 30 }), (told) => {
+      fc.property(fc.array(report, { maxLength: 30 }), (reports) => {
         const load = createFleetLoad(() => STALE_MS)
         const last = new Map<
           string,
-          { work: ReadonlyMap<string, TargetLoad>; atMs: number }
+          { loadByTarget: ReadonlyMap<string, TargetLoad>; atMs: number }
         >()
         let nowMs = 0
-        for (const { router, afterMs, work: theirs } of told) {
+        for (const { router, afterMs, loadByTarget } of reports) {
           nowMs += afterMs
-          load.updatePeer(router, theirs, nowMs)
-          last.set(router, { work: theirs, atMs: nowMs })
+          load.updatePeer(router, loadByTarget, nowMs)
+          last.set(router, { loadByTarget, atMs: nowMs })
           for (const id of TARGETS) {
             let requests = 0
             let pendingPromptTokens = 0
-            for (const { work: known, atMs } of last.values()) {
+            for (const { loadByTarget: reported, atMs } of last.values()) {
               if (nowMs - atMs > STALE_MS) continue
-              const one = known.get(id) ?? NO_LOAD
-              requests += one.requests
-              pendingPromptTokens += one.pendingPromptTokens
+              const peerLoad = reported.get(id) ?? NO_LOAD
+              requests += peerLoad.requests
+              pendingPromptTokens += peerLoad.pendingPromptTokens
             }
             const total = load.total(id, nowMs)
-            assert.deepEqual(total, {
-              requests,
-              pendingPromptTokens: pendingPromptTokens,
-            })
+            assert.deepEqual(total, { requests, pendingPromptTokens })
           }
         }
       }),
@@ -58,7 +55,7 @@
     )
   })
 
-  it('adds what this router has under way', () => {
+  it('adds the requests of this router', () => {
     const load = createFleetLoad(() => STALE_MS)
     load.updatePeer(
       'r1',
--- a/packages/router/src/node/routing/__tests__/selectTarget.test.ts
+++ b/packages/router/src/node/routing/__tests__/selectTarget.test.ts
@@ -4,7 +4,7 @@
 import type { Target } from '../../targets/target.js'
 import { selectTarget } from '../selectTarget.js'
 
-/** Times the mean load, and requests above it, that a target may hold. */
+/** Bound on a target's requests: LOAD_FACTOR times the mean plus LOAD_MARGIN. */
 const LOAD_FACTOR = 2
 const LOAD_MARGIN = 3
 
@@ -19,28 +19,28 @@
   }))
 }
 
-const workOf =
-  (load: (id: string) => number, unread = 0) =>
+const loadOf =
+  (requests: (id: string) => number, pendingPromptTokens = 0) =>
   (id: string) => ({
-    requests: load(id),
-    pendingPromptTokens: unread,
+    requests: requests(id),
+    pendingPromptTokens,
   })
 
-describe('choosePlace', () => {
-  it('sends what shares a prompt to one target while loads allow', () => {
-    const question = {
+describe('selectTarget', () => {
+  it('sends requests with the same prompt to one target within the load bound', () => {
+    const options = {
       targets: targets(13),
-      load: workOf(() => 3),
+      load: loadOf(() => 3),
       affinity: 'prompt',
       promptTokens: 800,
       cachedOn: [],
     }
-    const first = selectTarget({ ...question, tieBreaker: '1' })
-    const second = selectTarget({ ...question, tieBreaker: '2' })
+    const first = selectTarget({ ...options, tieBreaker: '1' })
+    const second = selectTarget({ ...options, tieBreaker: '2' })
     assert.equal(first?.id, second?.id)
   })
 
-  it('never places above the bound on load', () => {
+  it('never exceeds the load bound', () => {
     fc.assert(
       fc.property(
         fc.array(fc.nat(60), { minLength: 1, maxLength: 13 }),
@@ -48,114 +48,114 @@
         fc.boolean(),
         (loads, affinity, hasAffinity) => {
           const list = targets(loads.length)
-          const load = (id: string) => loads[Number(id.slice(1))] ?? 0
-          const place = selectTarget({
+          const requests = (id: string) => loads[Number(id.slice(1))] ?? 0
+          const target = selectTarget({
             targets: list,
-            load: workOf(load),
+            load: loadOf(requests),
             tieBreaker: 'x',
             promptTokens: 800,
             cachedOn: [],
             ...(hasAffinity && { affinity }),
           })
-          assert.ok(place)
+          assert.ok(target)
           const mean = loads.reduce((a, b) => a + b, 0) / loads.length
           const bound = LOAD_FACTOR * mean + LOAD_MARGIN
-          assert.ok(load(place.id) + 1 <= bound)
+          assert.ok(requests(target.id) + 1 <= bound)
         },
       ),
       { seed: 9, numRuns: 500 },
     )
   })
 
-  it('sends hot prompts that overflow to the same next target', () => {
+  it('sends the overflow of a hot prompt to the same next target', () => {
     const list = targets(6)
-    const question = {
+    const options = {
       targets: list,
       affinity: 'hot',
       promptTokens: 800,
       cachedOn: [],
     }
-    const home = selectTarget({
-      ...question,
+    const first = selectTarget({
+      ...options,
       tieBreaker: '1',
-      load: workOf(() => 0),
+      load: loadOf(() => 0),
     })
-    const load = (id: string) => (id === home?.id ? 50 : 1)
+    const requests = (id: string) => (id === first?.id ? 50 : 1)
     const next = selectTarget({
-      ...question,
+      ...options,
       tieBreaker: '1',
-      load: workOf(load),
+      load: loadOf(requests),
     })
     const other = selectTarget({
-      ...question,
+      ...options,
       tieBreaker: '2',
-      load: workOf(load),
+      load: loadOf(requests),
     })
-    assert.notEqual(next?.id, home?.id)
+    assert.notEqual(next?.id, first?.id)
     assert.equal(next?.id, other?.id)
   })
 
-  it('stays with the target that holds a prompt when others join', () => {
+  it('stays with the target that caches a prompt when others join', () => {
     const before = {
       targets: targets(4),
-      load: workOf(() => 2),
+      load: loadOf(() => 2),
       promptTokens: 800,
       cachedOn: [],
     }
     for (let i = 0; i < 40; i += 1) {
       const key = { affinity: `prompt ${i}`, tieBreaker: String(i) }
-      const home = selectTarget({ ...before, ...key })
+      const first = selectTarget({ ...before, ...key })
       const after = {
         ...before,
         targets: targets(8),
         promptTokens: 800,
-        cachedOn: [home?.id ?? ''],
+        cachedOn: [first?.id ?? ''],
       }
-      assert.equal(selectTarget({ ...after, ...key })?.id, home?.id)
+      assert.equal(selectTarget({ ...after, ...key })?.id, first?.id)
     }
   })
 
-  it('gives a prompt that none holds to a target with little to read', () => {
+  it('sends an uncached prompt to a target with few pending prompt tokens', () => {
     const list = targets(6)
-    const question = {
+    const options = {
       targets: list,
       affinity: 'new',
       promptTokens: 800,
       cachedOn: [],
       tieBreaker: '1',
     }
-    const home = selectTarget({ ...question, load: workOf(() => 1) })
-    const work = (id: string) => ({
+    const first = selectTarget({ ...options, load: loadOf(() => 1) })
+    const load = (id: string) => ({
       requests: 1,
-      pendingPromptTokens: id === home?.id ? 12_000 : 0,
+      pendingPromptTokens: id === first?.id ? 12_000 : 0,
     })
-    assert.notEqual(selectTarget({ ...question, load: work })?.id, home?.id)
-    const long = { ...question, promptTokens: 12_000 }
-    const longHome = selectTarget({ ...long, load: workOf(() => 1) })
-    assert.equal(selectTarget({ ...long, load: work })?.id, longHome?.id)
+    assert.notEqual(selectTarget({ ...options, load })?.id, first?.id)
+    const long = { ...options, promptTokens: 12_000 }
+    const longFirst = selectTarget({ ...long, load: loadOf(() => 1) })
+    assert.equal(selectTarget({ ...long, load })?.id, longFirst?.id)
   })
 
-  it('leaves a holder that is over the bound', () => {
-    const load = (id: string) => (id === 't0' ? 40 : 1)
-    const place = selectTarget({
+  it('leaves a cache target that exceeds the load bound', () => {
+    const requests = (id: string) => (id === 't0' ? 40 : 1)
+    const target = selectTarget({
       targets: targets(6),
-      load: workOf(load),
+      load: loadOf(requests),
       affinity: 'prompt',
       promptTokens: 800,
       cachedOn: ['t0'],
       tieBreaker: '1',
     })
-    assert.notEqual(place?.id, 't0')
+    assert.notEqual(target?.id, 't0')
   })
 
-  it('spreads what shares nothing over equal targets', () => {
+  it('spreads requests without affinity over equal targets', () => {
     const list = targets(3)
     const seen = new Set<string | undefined>()
     for (let i = 0; i < 50; i += 1)
       seen.add(
         selectTarget({
           targets: list,
-          load: workOf(() => 0),
+          load: loadOf(() => 0),
           tieBreaker: String(i),
           promptTokens: 800,
           cachedOn: [],
@@ -164,14 +164,14 @@
     assert.equal(seen.size, 3)
   })
 
-  it('finds no place among no targets', () => {
-    const question = {
+  it('returns undefined without targets', () => {
+    const options = {
       targets: [],
-      load: workOf(() => 0),
+      load: loadOf(() => 0),
       tieBreaker: 'x',
       promptTokens: 800,
       cachedOn: [],
     }
-    assert.equal(selectTarget(question), undefined)
+    assert.equal(selectTarget(options), undefined)
   })
 })
--- a/packages/router/src/node/routing/createCacheLocations.ts
+++ b/packages/router/src/node/routing/createCacheLocations.ts
@@ -1,65 +1,65 @@
 import { LRUCache } from 'lru-cache'
 
-/** Targets that hold one prompt, the latest first. */
-type Holders = readonly string[]
+/** Ids of the targets that cache one prompt, the latest first. */
+type CacheTargets = readonly string[]
 
-/** A prompt, by its affinity key, and a target that now holds it. */
+/** The affinity key of a prompt and the id of a target that caches it. */
 export type CacheLocation = readonly [key: string, targetId: string]
 
-/** Where prompts are cached, as far as routers told each other. */
+/** Targets that cache each prompt, from this router's requests and its peers' digests. */
 export interface CacheLocations {
-  /** Notes that this router sent a prompt to a target. */
+  /** Records that this router sent a prompt to a target. */
   add(key: string, targetId: string): void
-  /** Notes that a target did not get a prompt after all. */
+  /** Removes a target that did not run the prompt's request. */
   remove(key: string, targetId: string): void
-  /** Takes in what a peer placed. */
-  merge(placements: readonly CacheLocation[]): void
-  /** Returns the targets that hold a prompt, the latest first. */
-  cachedOn(key: string): Holders
-  /** Returns what this router placed since the last call. */
+  /** Adds locations that a peer reported. */
+  merge(locations: readonly CacheLocation[]): void
+  /** Returns the ids of the targets that cache a prompt, the latest first. */
+  cachedOn(key: string): CacheTargets
+  /** Returns the locations added by this router since the last call. */
   takeUpdates(): CacheLocation[]
-  /** Returns the latest holder of every prompt. */
+  /** Returns the latest location of every prompt. */
   all(): CacheLocation[]
 }
 
-/** Targets that are remembered for one prompt. */
-const MAX_HOLDERS = 3
-/** Placements that wait to be told at most; the rest is not told. */
-const MAX_NEWS = 200
+/** Targets remembered for one prompt. */
+const MAX_TARGETS_PER_PROMPT = 3
+/** Locations queued for peers; further ones are not reported. */
+const MAX_UPDATES = 200
 
 /**
- * Creates an empty memory.
- * @param maxKeys Prompts that are remembered; the least recently used are forgotten.
+ * Creates an empty table of cache locations.
+ * @param maxKeys Prompts that are remembered; the least recently used are evicted.
  */
 export function createCacheLocations(maxKeys: number): CacheLocations {
-  const byKey = new LRUCache<string, Holders>({ max: maxKeys })
-  let news = new Map<string, string>()
+  const byKey = new LRUCache<string, CacheTargets>({ max: maxKeys })
+  let updates = new Map<string, string>()
 
-  function add(key: string, targetId: string): void {
+  function addLocation(key: string, targetId: string): void {
     const known = byKey.get(key) ?? []
     if (known[0] === targetId) return
     const others = known.filter((id) => id !== targetId)
-    byKey.set(key, [targetId, ...others].slice(0, MAX_HOLDERS))
+    byKey.set(key, [targetId, ...others].slice(0, MAX_TARGETS_PER_PROMPT))
   }
 
   return {
     add(key, targetId) {
-      add(key, targetId)
-      if (news.size < MAX_NEWS) news.set(key, targetId)
+      addLocation(key, targetId)
+      if (updates.size < MAX_UPDATES) updates.set(key, targetId)
     },
     remove(key, targetId) {
       const others = (byKey.get(key) ?? []).filter((id) => id !== targetId)
       if (others.length > 0) byKey.set(key, others)
       else byKey.delete(key)
-      if (news.get(key) === targetId) news.delete(key)
+      if (updates.get(key) === targetId) updates.delete(key)
     },
-    merge(placements) {
-      for (const [key, targetId] of placements) add(key, targetId)
+    merge(locations) {
+      for (const [key, targetId] of locations) addLocation(key, targetId)
     },
     cachedOn: (key) => byKey.get(key) ?? [],
     takeUpdates() {
-      const taken = [...news]
-      news = new Map()
+      const taken = [...updates]
+      updates = new Map()
       return taken
     },
     all() {
--- a/packages/router/src/node/routing/createFleetLoad.ts
+++ b/packages/router/src/node/routing/createFleetLoad.ts
@@ -1,34 +1,34 @@
 import { NO_LOAD, type TargetLoad, type LoadByTarget } from './targetLoad.js'
 
-/** Work under way at targets, from this router and its peers. */
+/** Load of targets, from the requests of this router and its peers. */
 export interface FleetLoad {
-  /** A request is sent, of whose prompt the target must read `unreadTokens`. */
-  recordStart(targetId: string, unreadTokens: number): void
-  /** The target has read that many tokens, or never will. */
+  /** Records a request whose target must prefill `promptTokens`. */
+  recordStart(targetId: string, promptTokens: number): void
+  /** Removes prompt tokens that the target has prefilled or never will. */
   releasePromptTokens(targetId: string, tokens: number): void
   recordEnd(targetId: string): void
-  /** Work that this router has under way. */
+  /** Returns the load from this router's own requests. */
   own(): LoadByTarget
-  /** Takes in what a peer has under way. */
-  updatePeer(router: string, work: LoadByTarget, nowMs: number): void
-  /** Work that all routers have under way at a target. */
+  /** Replaces the load that a peer reported. */
+  updatePeer(router: string, load: LoadByTarget, nowMs: number): void
+  /** Returns the load of a target from all routers. */
   total(targetId: string, nowMs: number): TargetLoad
 }
 
-interface PeerWork {
-  readonly work: LoadByTarget
-  readonly heardAtMs: number
+interface PeerLoad {
+  readonly load: LoadByTarget
+  readonly receivedAtMs: number
 }
 
 /**
  * Creates an empty load.
- * @param staleMs Milliseconds after which what a peer told is no longer used.
+ * @param staleMs Returns the milliseconds after which a peer's report is ignored.
  */
 export function createFleetLoad(staleMs: () => number): FleetLoad {
   const own = new Map<string, TargetLoad>()
-  const peers = new Map<string, PeerWork>()
-  // Sums over the peers, so that a look at a target need not ask each of them.
-  const told = new Map<string, TargetLoad>()
+  const peers = new Map<string, PeerLoad>()
+  // Running sums over the peers, so that a lookup need not visit each of them.
+  const peerTotals = new Map<string, TargetLoad>()
   let checkedAtMs = -Infinity
 
   function addTo(
@@ -37,37 +37,34 @@
     requests: number,
     tokens: number,
   ): void {
-    const work = sums.get(targetId) ?? NO_LOAD
+    const load = sums.get(targetId) ?? NO_LOAD
     const sum = {
-      requests: work.requests + requests,
-      pendingPromptTokens: work.pendingPromptTokens + tokens,
+      requests: load.requests + requests,
+      pendingPromptTokens: load.pendingPromptTokens + tokens,
     }
     if (sum.requests > 0) sums.set(targetId, sum)
     else sums.delete(targetId)
   }
 
-  function forget(router: string): void {
+  function removePeer(router: string): void {
     const last = peers.get(router)
     if (!last) return
     peers.delete(router)
-    for (const [
-      id,
-      { requests, pendingPromptTokens: unreadTokens },
-    ] of last.work)
-      addTo(told, id, -requests, -unreadTokens)
+    for (const [id, { requests, pendingPromptTokens }] of last.load)
+      addTo(peerTotals, id, -requests, -pendingPromptTokens)
   }
 
-  function dropStale(nowMs: number): void {
+  function removeStale(nowMs: number): void {
     if (nowMs <= checkedAtMs) return
     checkedAtMs = nowMs
     const limitMs = staleMs()
-    for (const [router, { heardAtMs }] of peers)
-      if (nowMs - heardAtMs > limitMs) forget(router)
+    for (const [router, { receivedAtMs }] of peers)
+      if (nowMs - receivedAtMs > limitMs) removePeer(router)
   }
 
   return {
-    recordStart(targetId, unreadTokens) {
-      addTo(own, targetId, 1, unreadTokens)
+    recordStart(targetId, promptTokens) {
+      addTo(own, targetId, 1, promptTokens)
     },
     releasePromptTokens(targetId, tokens) {
       addTo(own, targetId, 0, -tokens)
@@ -76,20 +73,20 @@
       addTo(own, targetId, -1, 0)
     },
     own: () => own,
-    updatePeer(router, work, nowMs) {
-      forget(router)
-      peers.set(router, { work, heardAtMs: nowMs })
-      for (const [id, { requests, pendingPromptTokens: unreadTokens }] of work)
-        addTo(told, id, requests, unreadTokens)
+    updatePeer(router, load, nowMs) {
+      removePeer(router)
+      peers.set(router, { load, receivedAtMs: nowMs })
+      for (const [id, { requests, pendingPromptTokens }] of load)
+        addTo(peerTotals, id, requests, pendingPromptTokens)
     },
     total(targetId, nowMs) {
-      dropStale(nowMs)
-      const mine = own.get(targetId) ?? NO_LOAD
-      const theirs = told.get(targetId) ?? NO_LOAD
+      removeStale(nowMs)
+      const ownLoad = own.get(targetId) ?? NO_LOAD
+      const peerLoad = peerTotals.get(targetId) ?? NO_LOAD
       return {
-        requests: mine.requests + theirs.requests,
+        requests: ownLoad.requests + peerLoad.requests,
         pendingPromptTokens:
-          mine.pendingPromptTokens + theirs.pendingPromptTokens,
+          ownLoad.pendingPromptTokens + peerLoad.pendingPromptTokens,
       }
     },
   }
--- a/packages/router/src/node/routing/createTargetSelector.ts
+++ b/packages/router/src/node/routing/createTargetSelector.ts
@@ -9,7 +9,7 @@
 import type { FleetLoad } from './createFleetLoad.js'
 import type { CacheLocations } from './createCacheLocations.js'
 
-/** What a placer decides from. */
+/** Options for {@link createTargetSelector}. */
 export interface TargetSelectorOptions {
   readonly targetList: TargetList
   readonly load: FleetLoad
@@ -18,23 +18,23 @@
   readonly stallDetector: StallDetector
   /** Whether a service's targets fetch cached prompts from each other. */
   readonly sharesCache: (service: string) => boolean
-  /** Called when a prompt that no target held was placed. */
+  /** Called when a prompt that no target cached was sent to one. */
   readonly onNewPrompt: () => void
-  /** Steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number
 }
 
-/** Chooses the targets of calls. */
+/** Selects the targets of calls. */
 export interface TargetSelector {
-  /** Returns the target for a call's next send; undefined where there is none. */
+  /** Returns the target for a call's next send; undefined if there is none. */
   select(call: Call, tried: ReadonlySet<string>): Target | undefined
-  /** Returns a target that holds the call's prompt, where the one chosen does not. */
-  findCacheSource(call: Call, chosen: Target): Target | undefined
-  /** Returns the prompt tokens of a call that a target surely has to read. */
+  /** Returns a target that caches the call's prompt, if `selected` does not. */
+  findCacheSource(call: Call, selected: Target): Target | undefined
+  /** Returns the prompt tokens of a call that a target must prefill at least. */
   pendingPromptTokens(call: Call, target: Target): number
-  /** Notes that a call is sent to a target. */
+  /** Records that a call is sent to a target. */
   recordSent(call: Call, target: Target): void
-  /** Notes that a target surely did not run a call. */
+  /** Records that a target did not run a call. */
   recordNotRun(call: Call, target: Target): void
 }
 
@@ -48,47 +48,40 @@
   return tokens
 }
 
-/** Creates a placer. */
+/** Creates a target selector. */
 export function createTargetSelector(
   options: TargetSelectorOptions,
 ): TargetSelector {
-  const {
-    targetList: view,
-    load,
-    cacheLocations: placements,
-    health,
-    stallDetector: silence,
-    sharesCache,
-    now,
-  } = options
+  const { targetList, load, cacheLocations, health, stallDetector } = options
+  const { sharesCache, now } = options
 
   return {
     select(call, tried) {
       const nowMs = now()
-      const ready = view.ready(call.service, nowMs)
+      const ready = targetList.ready(call.service, nowMs)
       const eligible = health.eligible(call.service, ready, nowMs)
-      const open = eligible.filter(
-        ({ id }) => !tried.has(id) && !silence.isStalled(id, nowMs),
+      const available = eligible.filter(
+        ({ id }) => !tried.has(id) && !stallDetector.isStalled(id, nowMs),
       )
       const untried = ready.filter(({ id }) => !tried.has(id))
       const key = keyOf(call)
       return selectTarget({
-        targets: open.length > 0 ? open : untried,
+        targets: available.length > 0 ? available : untried,
         load: (id) => load.total(id, nowMs),
         promptTokens: tokensOf(call.request.promptParts),
         tieBreaker: call.request.attemptId,
-        cachedOn: key === undefined ? [] : placements.cachedOn(key),
+        cachedOn: key === undefined ? [] : cacheLocations.cachedOn(key),
         ...(key !== undefined && { affinity: key }),
       })
     },
-    findCacheSource(call, chosen) {
+    findCacheSource(call, selected) {
       const key = keyOf(call)
       if (key === undefined || !sharesCache(call.service)) return undefined
-      const holders = placements.cachedOn(key)
-      if (holders.includes(chosen.id)) return undefined
-      for (const id of holders) {
-        const holder = view.find(id)
-        if (holder) return holder
+      const cachedOn = cacheLocations.cachedOn(key)
+      if (cachedOn.includes(selected.id)) return undefined
+      for (const id of cachedOn) {
+        const source = targetList.find(id)
+        if (source) return source
       }
       return undefined
     },
@@ -96,20 +89,20 @@
       const key = keyOf(call)
       if (key === undefined) return 0
       const parts = call.request.promptParts
-      if (placements.cachedOn(key).includes(target.id))
+      if (cacheLocations.cachedOn(key).includes(target.id))
         return parts.at(-1)?.tokens ?? 0
       return tokensOf(parts)
     },
     recordSent(call, target) {
       const key = keyOf(call)
       if (key === undefined) return
-      const isNew = placements.cachedOn(key).length === 0
-      placements.add(key, target.id)
+      const isNew = cacheLocations.cachedOn(key).length === 0
+      cacheLocations.add(key, target.id)
       if (isNew) options.onNewPrompt()
     },
     recordNotRun(call, target) {
       const key = keyOf(call)
-      if (key !== undefined) placements.remove(key, target.id)
+      if (key !== undefined) cacheLocations.remove(key, target.id)
     },
   }
 }
--- a/packages/router/src/node/routing/targetLoad.ts
+++ b/packages/router/src/node/routing/targetLoad.ts
@@ -1,13 +1,13 @@
-/** What routers have under way at a target. */
+/** Load of a target, from the requests that routers have in flight there. */
 export interface TargetLoad {
   /** Requests in flight. */
   readonly requests: number
-  /** Prompt tokens that the target has to read before those requests begin to answer. */
+  /** Prompt tokens of those requests that the target has not prefilled yet. */
   readonly pendingPromptTokens: number
 }
 
-/** Work under way, by target id. */
+/** Load by target id. */
 export type LoadByTarget = ReadonlyMap<string, TargetLoad>
 
-/** A target without work. */
+/** Load of a target without requests. */
 export const NO_LOAD: TargetLoad = { requests: 0, pendingPromptTokens: 0 }
