--- a/packages/router/src/node/sources/__tests__/createSourceFollower.test.ts
+++ b/packages/router/src/node/sources/__tests__/createSourceFollower.test.ts
@@ -6,34 +6,34 @@
 import type { KeyedSource, SourceListing, SourcePage } from '../keyedSource.js'
 import { SourceFault } from '../sourceFault.js'
 
-type Answer = SourceListing<string> | SourcePage<string> | SourceFault
+type Reply = SourceListing<string> | SourcePage<string> | SourceFault
 
-/** Plays answers one after another, then stays silent. */
-function playedSource(answers: Answer[]): KeyedSource<string> & {
-  readonly asked: string[]
+/** Returns a source that gives the replies in turn and then never resolves. */
+function createFakeSource(replies: Reply[]): KeyedSource<string> & {
+  readonly requests: string[]
 } {
-  const asked: string[] = []
+  const requests: string[] = []
   function next(): Promise<never> {
-    const answer = answers.shift()
-    if (answer === undefined) return new Promise(() => undefined)
-    const result = typeof answer === 'string' ? err(answer) : ok(answer)
+    const reply = replies.shift()
+    if (reply === undefined) return new Promise(() => undefined)
+    const result = typeof reply === 'string' ? err(reply) : ok(reply)
     return Promise.resolve(result as never)
   }
   return {
-    asked,
+    requests,
     list: () => {
-      asked.push('list')
+      requests.push('list')
       return next()
     },
     read: (from) => {
-      asked.push(`read ${from}`)
+      requests.push(`read ${from}`)
       return next()
     },
   }
 }
 
-async function follow(answers: Answer[], lastAsked: number) {
-  const source = playedSource(answers)
+async function follow(replies: Reply[], requestCount: number) {
+  const source = createFakeSource(replies)
   const seen: string[] = []
   const done = new EventEmitter()
   let nowMs = 0
@@ -41,12 +41,12 @@
     source: {
       list: () => {
         const listing = source.list()
-        if (source.asked.length === lastAsked) done.emit('done')
+        if (source.requests.length === requestCount) done.emit('done')
         return listing
       },
       read: (from) => {
         const page = source.read(from)
-        if (source.asked.length === lastAsked) done.emit('done')
+        if (source.requests.length === requestCount) done.emit('done')
         return page
       },
     },
@@ -54,15 +54,15 @@
     now: () => (nowMs += 100),
     onListing: (values) => seen.push(`listing ${[...values.keys()].join()}`),
     onEntry: ({ key, value }) => seen.push(`${key}=${value ?? 'gone'}`),
-    onUnavailable: (fault) => seen.push(`lost ${fault}`),
-    onRecovered: (lostMs) => seen.push(`regained ${lostMs > 0}`),
+    onUnavailable: (fault) => seen.push(`fault ${fault}`),
+    onRecovered: (outageMs) => seen.push(`recovered ${outageMs > 0}`),
   })
   await once(done, 'done')
   follower.stop()
-  return { asked: source.asked, seen }
+  return { requests: source.requests, seen }
 }
 
-const listing = (end: number): Answer => ({
+const listing = (end: number): Reply => ({
   values: new Map([['a', '1']]),
   end,
 })
@@ -70,30 +70,30 @@
 describe('createSourceFollower', () => {
   it('lists once and reads on from there', async () => {
     const page = { entries: [{ key: 'b', value: '2' }, { key: 'a' }], end: 6 }
-    const { asked, seen } = await follow([listing(4), page], 3)
-    assert.deepEqual(asked, ['list', 'read 4', 'read 6'])
+    const { requests, seen } = await follow([listing(4), page], 3)
+    assert.deepEqual(requests, ['list', 'read 4', 'read 6'])
     assert.deepEqual(seen, ['listing a', 'b=2', 'a=gone'])
   })
 
-  it('lists again where the records were deleted', async () => {
-    const { asked } = await follow(
+  it('lists again after the records were deleted', async () => {
+    const { requests } = await follow(
       [listing(4), SourceFault.Trimmed, listing(9)],
       4,
     )
-    assert.deepEqual(asked, ['list', 'read 4', 'list', 'read 9'])
+    assert.deepEqual(requests, ['list', 'read 4', 'list', 'read 9'])
   })
 
-  it('lists again where another history ends before its place', async () => {
+  it('lists again after the log was replaced by a shorter one', async () => {
     const shorter = { entries: [], end: 2 }
-    const { asked } = await follow([listing(4), shorter, listing(2)], 4)
-    assert.deepEqual(asked, ['list', 'read 4', 'list', 'read 2'])
+    const { requests } = await follow([listing(4), shorter, listing(2)], 4)
+    assert.deepEqual(requests, ['list', 'read 4', 'list', 'read 2'])
   })
 
-  it('goes on from its place after an outage and tells of it once', async () => {
+  it('reads on from its offset after an outage and reports the outage once', async () => {
     const fault = SourceFault.Unavailable
     const page = { entries: [], end: 4 }
-    const { asked, seen } = await follow([listing(4), fault, fault, page], 5)
-    assert.deepEqual(asked, ['list', 'read 4', 'read 4', 'read 4', 'read 4'])
-    assert.deepEqual(seen, ['listing a', 'lost unavailable', 'regained true'])
+    const { requests, seen } = await follow([listing(4), fault, fault, page], 5)
+    assert.deepEqual(requests, ['list', 'read 4', 'read 4', 'read 4', 'read 4'])
+    assert.deepEqual(seen, ['listing a', 'fault unavailable', 'recovered true'])
   })
 })
--- a/packages/router/src/node/sources/createSourceFollower.ts
+++ b/packages/router/src/node/sources/createSourceFollower.ts
@@ -2,30 +2,30 @@
 import type { KeyedSource, SourceEntry } from './keyedSource.js'
 import { SourceFault } from './sourceFault.js'
 
-/** Milliseconds between two tries while a source does not answer, and between two looks at whether peers still read it. */
+/** Milliseconds between two polls of an unavailable source, and between two checks for a fresh reader. */
 const RETRY_MS = 250
 
-/** What a follower works with. */
+/** Options for {@link createSourceFollower}. */
 export interface SourceFollowerOptions<T> {
   readonly source: KeyedSource<T>
-  /** Milliseconds between two readings. */
+  /** Milliseconds between two polls. */
   readonly pollIntervalMs: number
-  /** Steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number
-  /** Whether a peer reads for this router; it then reads only once. */
+  /** Whether a peer polls for this router, which then only lists the source once. */
   readonly hasFreshReader?: () => boolean
   readonly onListing: (values: ReadonlyMap<string, T>) => void
   readonly onEntry: (entry: SourceEntry<T>) => void
-  /** Called after each answer of the source, once its changes are taken in. */
+  /** Called after each successful poll, once its changes are applied. */
   readonly onRead?: () => void
   readonly onUnavailable?: (fault: SourceFault) => void
-  /** Called before the first changes after an outage, with its length. */
-  readonly onRecovered?: (lostMs: number) => void
+  /** Called before the first changes after an outage, with its length in milliseconds. */
+  readonly onRecovered?: (outageMs: number) => void
 }
 
-/** Reads a source again and again. */
+/** Polls a source. */
 export interface SourceFollower {
-  /** Milliseconds since the source last answered this router; infinite before the first time. */
+  /** Milliseconds since the last successful poll; infinite before the first. */
   lastPollAgeMs(): number
   stop(): void
 }
@@ -38,72 +38,73 @@
   const stopping = new AbortController()
   const { signal } = stopping
   let end: number | undefined
-  let readAtMs = -Infinity
-  let lostSinceMs: number | undefined
+  let lastPollAtMs = -Infinity
+  let outageStartMs: number | undefined
 
-  function answered(): void {
-    readAtMs = now()
-    if (lostSinceMs === undefined) return
-    options.onRecovered?.(readAtMs - lostSinceMs)
-    lostSinceMs = undefined
+  function onSuccess(): void {
+    lastPollAtMs = now()
+    if (outageStartMs === undefined) return
+    options.onRecovered?.(lastPollAtMs - outageStartMs)
+    outageStartMs = undefined
   }
 
-  function failed(fault: SourceFault): void {
+  function onFault(fault: SourceFault): void {
     if (fault === SourceFault.Trimmed) {
       end = undefined
       return
     }
-    if (lostSinceMs !== undefined) return
-    lostSinceMs = now()
+    if (outageStartMs !== undefined) return
+    outageStartMs = now()
     options.onUnavailable?.(fault)
   }
 
   async function list(): Promise<boolean> {
     const listing = await source.list()
     if (listing.isErr()) {
-      failed(listing.error)
+      onFault(listing.error)
       return false
     }
-    answered()
+    onSuccess()
     end = listing.value.end
     onListing(listing.value.values)
     options.onRead?.()
     return true
   }
 
-  async function readOn(from: number): Promise<boolean> {
+  async function readChanges(from: number): Promise<boolean> {
     const page = await source.read(from)
     if (page.isErr()) {
-      failed(page.error)
+      onFault(page.error)
       return page.error === SourceFault.Trimmed
     }
-    answered()
-    // An end before the offset means that another history stands there now.
+    onSuccess()
+    // An end before the offset means that the log was replaced by another one.
     end = page.value.end < from ? undefined : page.value.end
-    // Only the last change of a key counts; earlier ones are long past.
+    // Only the last change of a key counts; earlier ones are superseded.
     const last = new Map(page.value.entries.map((entry) => [entry.key, entry]))
     for (const entry of last.values()) onEntry(entry)
     options.onRead?.()
     return true
   }
 
-  async function readOnce(): Promise<number> {
+  /** Polls once; resolves with the milliseconds until the next poll. */
+  async function poll(): Promise<number> {
     if (end === undefined)
       return (await list()) ? options.pollIntervalMs : RETRY_MS
     if (options.hasFreshReader?.()) return RETRY_MS
-    return (await readOn(end)) ? options.pollIntervalMs : RETRY_MS
+    return (await readChanges(end)) ? options.pollIntervalMs : RETRY_MS
   }
 
   async function run(): Promise<void> {
     while (!signal.aborted) {
-      const pauseMs = await readOnce()
-      await sleep(pauseMs, undefined, { signal }).catch(() => undefined)
+      const delayMs = await poll()
+      await sleep(delayMs, undefined, { signal }).catch(() => undefined)
     }
   }
 
   void run()
   return {
-    lastPollAgeMs: () => now() - readAtMs,
+    lastPollAgeMs: () => now() - lastPollAtMs,
     stop: () => {
       stopping.abort()
     },
--- a/packages/router/src/node/sources/createSourceLogger.ts
+++ b/packages/router/src/node/sources/createSourceLogger.ts
@@ -2,13 +2,13 @@
 import { LogEvent } from '../logging/logEvent.js'
 import type { SourceFault } from './sourceFault.js'
 
-/** Lines on a source that stopped answering or answers again. */
+/** Logs when a source becomes unavailable and when it recovers. */
 export interface SourceLogger {
   readonly logUnavailable: (fault: SourceFault) => void
-  readonly logRecovered: (lostMs: number) => void
+  readonly logRecovered: (outageMs: number) => void
 }
 
-/** Creates the lines of one source, by its name. */
+/** Creates the logger of one source, named `source` in the log. */
 export function createSourceLogger(
   log: DecisionLog,
   source: string,
@@ -17,10 +17,10 @@
     logUnavailable: (fault) => {
       log.write(LogEvent.SourceLost, { source, fault })
     },
-    logRecovered: (lostMs) => {
+    logRecovered: (outageMs) => {
       log.write(LogEvent.SourceRegained, {
         source,
-        lostMs: Math.round(lostMs),
+        lostMs: Math.round(outageMs),
       })
     },
   }
--- a/packages/router/src/node/sources/keyedSource.ts
+++ b/packages/router/src/node/sources/keyedSource.ts
@@ -1,7 +1,7 @@
 import type { Result } from 'neverthrow'
 import type { SourceFault } from './sourceFault.js'
 
-/** A change of one key; without a value the key is gone. */
+/** A change of one key; without a value the key was deleted. */
 export interface SourceEntry<T> {
   readonly key: string
   readonly value?: T
@@ -10,19 +10,20 @@
 /** The newest value of every key. */
 export interface SourceListing<T> {
   readonly values: ReadonlyMap<string, T>
-  /** Where reading goes on. */
+  /** Offset from which to read on. */
   readonly end: number
 }
 
-/** Changes in their order. */
+/** Changes in log order. */
 export interface SourcePage<T> {
   readonly entries: readonly SourceEntry<T>[]
+  /** Offset from which to read on. */
   readonly end: number
 }
 
-/** Values by key that others write, readable as a whole and as changes. */
+/** Keyed values written by others, readable as a whole and as a log of changes. */
 export interface KeyedSource<T> {
   list(): Promise<Result<SourceListing<T>, SourceFault>>
-  /** Resolves with the changes from `from` on, or with none after a while. */
+  /** Long-polls for changes from offset `from` on; resolves with none on a timeout. */
   read(from: number): Promise<Result<SourcePage<T>, SourceFault>>
 }
--- a/packages/router/src/node/sources/sourceFault.ts
+++ b/packages/router/src/node/sources/sourceFault.ts
@@ -1,7 +1,7 @@
 /** Why a source could not be read. */
 export enum SourceFault {
-  /** No answer, or a refusal that says nothing of the records. */
+  /** No response, or an error that says nothing about the records. */
   Unavailable = 'unavailable',
-  /** The records asked for are gone; the newest ones must be listed. */
+  /** The requested records were deleted; the source must be listed again. */
   Trimmed = 'trimmed',
 }
--- a/packages/router/src/node/targets/__tests__/createTargetList.test.ts
+++ b/packages/router/src/node/targets/__tests__/createTargetList.test.ts
@@ -21,44 +21,44 @@
 const ids = (targets: readonly Target[]): string[] =>
   targets.map(({ id }) => id)
 
-describe('createTargetView', () => {
-  it('gives no work to a target that leaves, at once', () => {
-    const view = createTargetList(REJOIN_MS)
-    view.set(target('a'))
-    view.set(target('b'))
-    view.set(target('a', { draining: true }))
-    assert.deepEqual(ids(view.ready('s', NOW_MS)), ['b'])
-    assert.equal(view.find('a')?.draining, true)
+describe('createTargetList', () => {
+  it('excludes a draining target at once', () => {
+    const list = createTargetList(REJOIN_MS)
+    list.set(target('a'))
+    list.set(target('b'))
+    list.set(target('a', { draining: true }))
+    assert.deepEqual(ids(list.ready('s', NOW_MS)), ['b'])
+    assert.equal(list.find('a')?.draining, true)
   })
 
-  it('drops a target whose entry went', () => {
-    const view = createTargetList(REJOIN_MS)
-    view.set(target('a'))
-    view.remove('a', 1)
-    assert.deepEqual(view.ready('s', NOW_MS), [])
+  it('drops a target whose entry was removed', () => {
+    const list = createTargetList(REJOIN_MS)
+    list.set(target('a'))
+    list.remove('a', 1)
+    assert.deepEqual(list.ready('s', NOW_MS), [])
   })
 
-  it('waits after an outage for entries that it lost', () => {
-    const view = createTargetList(REJOIN_MS)
-    for (const id of ['a', 'b']) view.set(target(id))
-    view.startRejoinWindow(10_000)
-    for (const id of ['a', 'b']) view.remove(id, 10_001)
-    assert.deepEqual(ids(view.ready('s', NOW_MS)), ['a', 'b'])
-    view.set(target('a'))
+  it('keeps targets after an outage until the rejoin window ends', () => {
+    const list = createTargetList(REJOIN_MS)
+    for (const id of ['a', 'b']) list.set(target(id))
+    list.startRejoinWindow(10_000)
+    for (const id of ['a', 'b']) list.remove(id, 10_001)
+    assert.deepEqual(ids(list.ready('s', NOW_MS)), ['a', 'b'])
+    list.set(target('a'))
     const lastMs = 10_000 + REJOIN_MS
-    assert.deepEqual(ids(view.ready('s', lastMs - 0.1)), ['a', 'b'])
-    assert.deepEqual(ids(view.ready('s', lastMs)), ['a'])
+    assert.deepEqual(ids(list.ready('s', lastMs - 0.1)), ['a', 'b'])
+    assert.deepEqual(ids(list.ready('s', lastMs)), ['a'])
   })
 
-  it('takes a target that leaves out, also while it waits', () => {
-    const view = createTargetList(REJOIN_MS)
-    view.set(target('a'))
-    view.startRejoinWindow(0)
-    view.set(target('a', { draining: true }))
-    assert.deepEqual(view.ready('s', NOW_MS), [])
+  it('excludes a draining target also within the rejoin window', () => {
+    const list = createTargetList(REJOIN_MS)
+    list.set(target('a'))
+    list.startRejoinWindow(0)
+    list.set(target('a', { draining: true }))
+    assert.deepEqual(list.ready('s', NOW_MS), [])
   })
 
-  it('has one fingerprint for the same targets, however they came', () => {
+  it('has the same fingerprint for the same targets in any order', () => {
     const one = createTargetList(REJOIN_MS)
     const other = createTargetList(REJOIN_MS)
     for (const id of ['a', 'b']) one.set(target(id))
--- a/packages/router/src/node/targets/__tests__/followTargets.test.ts
+++ b/packages/router/src/node/targets/__tests__/followTargets.test.ts
@@ -13,13 +13,13 @@
   return { id, service: 's', ...address, slots: 4, draining }
 }
 
-/** Follows a list whose changes a test writes, on a clock that it moves. */
+/** Follows a fake source on a fake clock; the test writes the changes and advances the clock. */
 async function follow(listed: Target[]) {
   const changes: SourceEntry<Target>[] = []
   let nowMs = 1_000
-  let covered = false
-  let away = false
-  let unreadAtMs = 0
+  let hasFreshReader = false
+  let isUnavailable = false
+  let lastFleetOutageAtMs = 0
   const source: KeyedSource<Target> = {
     list: () => {
       const values = new Map(listed.map((entry) => [entry.id, entry]))
@@ -27,18 +27,18 @@
     },
     read: (from) =>
       Promise.resolve(
-        away
+        isUnavailable
           ? err(SourceFault.Unavailable)
           : ok({ entries: changes.splice(0), end: from }),
       ),
   }
-  const view = createTargetList(2_000)
+  const targetList = createTargetList(2_000)
   const follower = followTargets({
     source,
-    targetList: view,
+    targetList,
     pollIntervalMs: 1,
-    lastFleetOutageAtMs: () => unreadAtMs,
-    hasFreshReader: () => covered,
+    lastFleetOutageAtMs: () => lastFleetOutageAtMs,
+    hasFreshReader: () => hasFreshReader,
     onChange: () => undefined,
     log: { write: () => undefined },
     now: () => nowMs,
@@ -54,17 +54,17 @@
     follower,
     settle,
     changes,
-    ready: () => view.ready('s', nowMs).map(({ id }) => id),
-    cover: (value: boolean) => {
-      covered = value
+    ready: () => targetList.ready('s', nowMs).map(({ id }) => id),
+    setFreshReader: (value: boolean) => {
+      hasFreshReader = value
     },
-    /** Breaks the list for 8 s; peers cannot read it until `unreadMs` after its start. */
-    async outage(unreadMs: number) {
-      away = true
+    /** Makes the source unavailable for 8 s, and for peers until `fleetOutageMs` after its start. */
+    async outage(fleetOutageMs: number) {
+      isUnavailable = true
       await settle()
-      unreadAtMs = nowMs + unreadMs
+      lastFleetOutageAtMs = nowMs + fleetOutageMs
       nowMs += 8_000
-      away = false
+      isUnavailable = false
     },
     advance: (ms: number) => {
       nowMs += ms
@@ -73,9 +73,9 @@
 }
 
 describe('followTargets', () => {
-  it('takes a newer list from a peer', async () => {
+  it('applies a newer list of a peer', async () => {
     const test = await follow([target('a')])
-    test.cover(true)
+    test.setFreshReader(true)
     await test.settle()
     test.advance(800)
     test.follower.applyPeerList([target('a'), target('b')], 50)
@@ -84,12 +84,12 @@
     test.follower.stop()
   })
 
-  it('lets no peer bring back a target that went or leaves', async () => {
+  it('ignores a list of a peer that brings back a removed or draining target', async () => {
     const test = await follow([target('a'), target('b')])
     test.changes.push({ key: 'a' }, { key: 'b', value: target('b', true) })
     await test.settle()
     assert.deepEqual(test.ready(), [])
-    test.cover(true)
+    test.setFreshReader(true)
     await test.settle()
     test.follower.applyPeerList([target('a'), target('b', true)], 0)
     test.follower.applyPeerList([target('b')], 0)
@@ -97,7 +97,7 @@
     test.follower.stop()
   })
 
-  it('believes the list when it says that a target came back', async () => {
+  it('adds a removed target again when the source lists it', async () => {
     const test = await follow([target('a')])
     test.changes.push({ key: 'a' })
     await test.settle()
@@ -107,42 +107,43 @@
     test.follower.stop()
   })
 
-  it('reads for itself after a pause, whatever peers read', async () => {
+  it('polls the source after an invalidation even if a peer is a fresh reader', async () => {
     const test = await follow([target('a')])
-    test.cover(true)
+    test.setFreshReader(true)
     await test.settle()
     test.changes.push({ key: 'a', value: target('a', true) })
     await test.settle()
     assert.deepEqual(test.ready(), ['a'])
     test.follower.invalidate()
     assert.equal(test.follower.ageMs(), Infinity)
-    // A follower that is covered looks a quarter of a second later.
+    // A follower with a fresh reader checks again after 250 ms.
     await new Promise((resolve) => setTimeout(resolve, 300))
     await test.settle()
     assert.deepEqual(test.ready(), [])
     test.follower.stop()
   })
 
-  for (const { title, unreadMs, left } of [
+  for (const { title, fleetOutageMs, remaining } of [
     {
-      title: 'drops a target at once where peers read the list in an outage',
-      unreadMs: 1_000,
-      left: [],
+      title:
+        'drops a target at once if peers could read the source in the outage',
+      fleetOutageMs: 1_000,
+      remaining: [],
     },
     {
-      title: 'waits for lost entries after an outage of all',
-      unreadMs: 8_000,
-      left: ['a'],
+      title: 'waits for lost entries after an outage of the whole fleet',
+      fleetOutageMs: 8_000,
+      remaining: ['a'],
     },
   ])
     it(title, async () => {
       const test = await follow([target('a')])
-      await test.outage(unreadMs)
+      await test.outage(fleetOutageMs)
       test.changes.push({ key: 'a' })
-      // A list that did not answer is tried again a quarter of a second later.
+      // An unavailable source is polled again after 250 ms.
       await new Promise((resolve) => setTimeout(resolve, 300))
       await test.settle()
-      assert.deepEqual(test.ready(), left)
+      assert.deepEqual(test.ready(), remaining)
       test.follower.stop()
     })
 })
--- a/packages/router/src/node/targets/createTargetClient.ts
+++ b/packages/router/src/node/targets/createTargetClient.ts
@@ -15,7 +15,7 @@
 import { type TargetFailure, TargetFailureCause } from './targetFailure.js'
 import type { TargetRequestOptions, TargetProtocol } from './targetProtocol.js'
 
-/** A target's answer, its body still to be read. */
+/** A target's response, with its body not read yet. */
 export interface TargetResponse {
   readonly head: ResponseHead
   readonly res: IncomingMessage
@@ -26,23 +26,23 @@
   readonly call: Call
   readonly options: TargetRequestOptions
   readonly signal: AbortSignal
-  /** Milliseconds until the first byte of the answer. */
+  /** Milliseconds to wait for the first byte of the response. */
   readonly headerTimeoutMs: number
 }
 
 /** Sends requests to targets. */
 export interface TargetClient {
   send(send: TargetSend): Promise<Result<TargetResponse, TargetFailure>>
-  /** Gives up every kept connection to a target. */
+  /** Closes idle connections to a target and lets the others carry no further request. */
   discardConnections(target: Target): void
   close(): void
 }
 
-/** How connections to targets are used. */
+/** Options for {@link createTargetClient}. */
 export interface TargetClientOptions {
   readonly protocol: TargetProtocol
   readonly connectTimeoutMs: number
-  /** Milliseconds that a connection is kept without a request. */
+  /** Milliseconds that an idle connection is kept open. */
   readonly keepAliveTimeoutMs: number
 }
 
@@ -55,19 +55,19 @@
 const SUCCESS_FROM = 200
 const SUCCESS_BELOW = 300
 
-function describe(failure: ExchangeFailure): TargetFailure {
+function toTargetFailure(failure: ExchangeFailure): TargetFailure {
   const { error, progress, message } = failure
-  const unsent = progress === AttemptProgress.NothingWritten
+  const isUnsent = progress === AttemptProgress.NothingWritten
   const cause =
-    unsent && error !== ExchangeError.Aborted
+    isUnsent && error !== ExchangeError.Aborted
       ? TargetFailureCause.Unreachable
       : CAUSES[error]
   return { verdict: verdictOfAttempt(progress), cause, message }
 }
 
-function findFault(head: ResponseHead): TargetFailure | undefined {
+function findFailure(head: ResponseHead): TargetFailure | undefined {
   const { status } = head
-  const message = `the target answered ${status}`
+  const message = `target responded with status ${status}`
   if (!head.isForRequest)
     return {
       verdict: Verdict.MayHaveRun,
@@ -95,49 +95,48 @@
   }
 }
 
-/** Creates a client that keeps connections between requests. */
+/** Creates a client that reuses connections. */
 export function createTargetClient(options: TargetClientOptions): TargetClient {
-  const { protocol, connectTimeoutMs, keepAliveTimeoutMs: keptIdleMs } = options
-  const agent = new ConnectionPool(keptIdleMs)
+  const { protocol, connectTimeoutMs, keepAliveTimeoutMs } = options
+  const agent = new ConnectionPool(keepAliveTimeoutMs)
   const addressOf = ({ host, port }: Target) => `${host}:${port}`
 
   async function send({
     call,
-    options: orders,
+    options: requestOptions,
     signal,
-    headerTimeoutMs: patienceMs,
+    headerTimeoutMs,
   }: TargetSend): Promise<Result<TargetResponse, TargetFailure>> {
-    const { target } = orders
+    const { target } = requestOptions
     const address = addressOf(target)
     const result = await exchange({
       url: `http://${address}`,
       path: call.path,
       method: call.method,
-      headers: protocol.requestHeaders(call.rawHeaders, orders),
+      headers: protocol.requestHeaders(call.rawHeaders, requestOptions),
       body: call.body,
       signal,
       agent,
-      limits: { connectTimeoutMs, firstByteTimeoutMs: patienceMs },
+      limits: { connectTimeoutMs, firstByteTimeoutMs: headerTimeoutMs },
       onSocket: (socket) => {
         agent.recordConnection(socket, address)
       },
     })
     if (result.isErr()) {
-      // A silent connection says that others of its age may be dead too.
-      if (result.error.error === ExchangeError.TimedOut)
-        agent.retireConnections(address)
-      return err(describe(result.error))
+      // If one connection is half-open, the others to the target may be too.
+      if (result.error.error === ExchangeError.Silent) agent.condemn(address)
+      return err(toTargetFailure(result.error))
     }
     const res = result.value
     const head = protocol.decodeHead(res, call.request.attemptId)
-    const fault = findFault(head)
-    if (!fault) return ok({ head, res })
-    if (fault.verdict === Verdict.NotRun) res.resume()
+    const failure = findFailure(head)
+    if (!failure) return ok({ head, res })
+    if (failure.verdict === Verdict.NotRun) res.resume()
     else {
       res.destroy()
       agent.retireConnections(address)
     }
-    return err(fault)
+    return err(failure)
   }
 
   return {
--- a/packages/router/src/node/targets/createTargetList.ts
+++ b/packages/router/src/node/targets/createTargetList.ts
@@ -9,26 +9,26 @@
   return hash32(lines.sort().join('\n'))
 }
 
-/** The targets that may get work, as far as this router knows. */
+/** The targets that this router knows of. */
 export interface TargetList {
-  /** Returns the targets of a service that are not leaving. */
+  /** Returns the targets of a service that are not draining. */
   ready(service: string, nowMs: number): readonly Target[]
-  /** Returns a target that is listed, leaving or not. */
+  /** Returns a listed target, draining or not. */
   find(id: string): Target | undefined
   all(): Iterable<Target>
-  /** Ids of all targets in order; the same for views with the same fingerprint. */
+  /** Returns the sorted ids of all targets; lists with the same fingerprint have the same ids. */
   ids(): readonly string[]
-  /** Tells two views apart; the same for the same targets. */
+  /** Returns a hash of the targets, to compare two lists. */
   fingerprint(): number
   set(target: Target): void
   remove(id: string, nowMs: number): void
-  /** Notes that the list can be read again after an outage. */
+  /** Starts the time after an outage in which removed targets stay, as their entries may return. */
   startRejoinWindow(nowMs: number): void
 }
 
 /**
- * Creates an empty view.
- * @param rejoinMs Milliseconds after an outage of the list within which entries that it lost come back.
+ * Creates an empty target list.
+ * @param rejoinMs Milliseconds after an outage of the source within which lost entries return.
  */
 export function createTargetList(rejoinMs: number): TargetList {
   const targets = new Map<string, Target>()
@@ -38,18 +38,18 @@
   let ids: readonly string[] | undefined
   let rejoinUntilMs = -Infinity
 
-  function index(): Map<string, Target[]> {
-    const indexed = new Map<string, Target[]>()
+  function indexByService(): Map<string, Target[]> {
+    const index = new Map<string, Target[]>()
     for (const target of targets.values()) {
       if (target.draining) continue
-      const group = indexed.get(target.service)
+      const group = index.get(target.service)
       if (group) group.push(target)
-      else indexed.set(target.service, [target])
+      else index.set(target.service, [target])
     }
-    return indexed
+    return index
   }
 
-  function changed(): void {
+  function invalidateIndexes(): void {
     byService = undefined
     fingerprint = undefined
     ids = undefined
@@ -58,15 +58,15 @@
   function drop(id: string): void {
     missing.delete(id)
     targets.delete(id)
-    changed()
+    invalidateIndexes()
   }
 
   function put(target: Target): void {
     missing.delete(target.id)
-    // Entries are written again and again without a change.
+    // Entries are rewritten periodically without a change.
     if (isDeepStrictEqual(targets.get(target.id), target)) return
     targets.set(target.id, target)
-    changed()
+    invalidateIndexes()
   }
 
   function remove(id: string, nowMs: number): void {
@@ -75,16 +75,16 @@
     else drop(id)
   }
 
-  /** Removes targets whose entry did not come back in time. */
-  function expire(nowMs: number): void {
+  /** Removes targets whose entry did not return within the rejoin window. */
+  function dropMissing(nowMs: number): void {
     if (missing.size === 0 || nowMs < rejoinUntilMs) return
     for (const id of missing) drop(id)
   }
 
   return {
     ready(service, nowMs) {
-      expire(nowMs)
-      byService ??= index()
+      dropMissing(nowMs)
+      byService ??= indexByService()
       return byService.get(service) ?? []
     },
     find: (id) => targets.get(id),
--- a/packages/router/src/node/targets/followTargets.ts
+++ b/packages/router/src/node/targets/followTargets.ts
@@ -8,57 +8,57 @@
 import type { TargetList } from './createTargetList.js'
 import type { Target } from './target.js'
 
-/** Targets that went and are remembered; far more than go while an old list is about. */
-const MAX_GONE = 1_000
+/** Removed targets that are remembered; far more than are removed while a peer still has an older list. */
+const MAX_REMOVED = 1_000
 
-/** What the follower of targets works with. */
+/** Options for {@link followTargets}. */
 export interface FollowTargetsOptions {
   readonly source: KeyedSource<Target>
   readonly targetList: TargetList
-  /** Milliseconds between two readings. */
+  /** Milliseconds between two polls. */
   readonly pollIntervalMs: number
-  /** Last time at which no peer could read the list either, in milliseconds. */
+  /** Returns the last time at which no peer could read the source either, in milliseconds. */
   readonly lastFleetOutageAtMs: () => number
-  /** Steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number
-  /** Whether a peer reads the list for this router. */
+  /** Whether a peer polls the source for this router. */
   readonly hasFreshReader: () => boolean
-  /** Called when a target came, left or announced that it leaves. */
+  /** Called when a target was added or removed, or its draining state changed. */
   readonly onChange: () => void
   readonly log: DecisionLog
 }
 
-/** Keeps a view of targets in step with their list. */
+/** Keeps a target list up to date with its source. */
 export interface TargetsFollower {
-  /** Milliseconds since this router read the list; infinite before the first time. */
+  /** Milliseconds since this router polled the source; infinite before the first poll and after an invalidation. */
   lastPollAgeMs(): number
-  /** Milliseconds up to which the view surely has all changes, from the list or from peers. */
+  /** Upper bound on the list's staleness in milliseconds, from polls and from peers; infinite if unknown. */
   ageMs(): number
-  /** Whether the view has come from the list or from a peer. */
+  /** Whether the list was loaded from the source or from a peer. */
   isLoaded(): boolean
-  /** Takes in the list that a peer had `ageMs` ago. */
+  /** Applies a list that a peer had `ageMs` ago. */
   applyPeerList(targets: readonly Target[], ageMs: number): void
-  /** Notes that a peer had the same list `ageMs` ago. */
+  /** Records that a peer had the same list `ageMs` ago. */
   confirm(ageMs: number): void
-  /** Trusts nothing that was known until the list is read again. */
+  /** Marks the list as stale until the source is polled again. */
   invalidate(): void
   stop(): void
 }
 
-/** Starts to follow the list of targets. */
+/** Starts to follow the source of targets. */
 export function followTargets(options: FollowTargetsOptions): TargetsFollower {
-  const { source, targetList: view, now, log } = options
-  const lines = createSourceLogger(log, 'targets')
-  let isKnown = false
+  const { source, targetList, now, log } = options
+  const sourceLogger = createSourceLogger(log, 'targets')
+  let isLoaded = false
   let confirmedAtMs = -Infinity
-  let mustRead = false
-  // Targets that went; a peer's older list must not bring them back.
-  const gone = new LRUCache<string, true>({ max: MAX_GONE })
+  let mustPoll = false
+  // A peer's older list must not bring removed targets back.
+  const removed = new LRUCache<string, true>({ max: MAX_REMOVED })
 
-  function put(target: Target): void {
-    const known = view.find(target.id)
-    gone.delete(target.id)
-    view.set(target)
+  function set(target: Target): void {
+    const known = targetList.find(target.id)
+    removed.delete(target.id)
+    targetList.set(target)
     const { id, service, draining } = target
     if (known?.draining === draining) return
     options.onChange()
@@ -67,10 +67,10 @@
   }
 
   function remove(id: string): void {
-    if (!view.find(id)) return
-    gone.set(id, true)
+    if (!targetList.find(id)) return
+    removed.set(id, true)
     log.write(LogEvent.TargetGone, { target: id })
-    view.remove(id, now())
+    targetList.remove(id, now())
     options.onChange()
   }
 
@@ -79,21 +79,21 @@
   }
 
   function replace(values: ReadonlyMap<string, Target>): void {
-    isKnown = true
-    for (const target of values.values()) put(target)
-    for (const { id } of [...view.all()]) if (!values.has(id)) remove(id)
+    isLoaded = true
+    for (const target of values.values()) set(target)
+    for (const { id } of [...targetList.all()]) if (!values.has(id)) remove(id)
   }
 
-  /** Whether a peer's entry goes back behind what this router knows. */
-  function isBehind({ id, draining }: Target): boolean {
-    if (gone.has(id)) return true
-    return view.find(id)?.draining === true && !draining
+  /** Whether a peer's entry is older than what this router knows. */
+  function isOutdated({ id, draining }: Target): boolean {
+    if (removed.has(id)) return true
+    return targetList.find(id)?.draining === true && !draining
   }
 
-  function borrow(targets: readonly Target[], ageMs: number): void {
-    // The peer is mistaken, or the target came back: only the list can tell.
-    if (targets.some(isBehind)) {
-      mustRead = true
+  function applyPeerList(targets: readonly Target[], ageMs: number): void {
+    // Either the peer's list is outdated or the target returned: only the source can tell.
+    if (targets.some(isOutdated)) {
+      mustPoll = true
       return
     }
     replace(new Map(targets.map((target) => [target.id, target])))
@@ -103,37 +103,38 @@
   const follower = createSourceFollower({
     source,
     pollIntervalMs: options.pollIntervalMs,
-    hasFreshReader: () => !mustRead && options.hasFreshReader(),
+    hasFreshReader: () => !mustPoll && options.hasFreshReader(),
     onRead: () => {
-      mustRead = false
+      mustPoll = false
     },
     now,
     onListing: replace,
     onEntry: ({ key, value }) => {
-      if (value) put(value)
+      if (value) set(value)
       else remove(key)
     },
-    onUnavailable: lines.logUnavailable,
-    onRecovered: (lostMs) => {
-      lines.logRecovered(lostMs)
-      // Entries are back by now where peers have read for as long as that.
-      const spanMs = Math.min(lostMs, REJOIN_WINDOW_MS)
-      const isShared = options.lastFleetOutageAtMs() > now() - spanMs
-      if (lostMs > SHORT_OUTAGE_MS && isShared) view.startRejoinWindow(now())
+    onUnavailable: sourceLogger.logUnavailable,
+    onRecovered: (outageMs) => {
+      sourceLogger.logRecovered(outageMs)
+      // Lost entries have returned by now if a peer could read for that long.
+      const spanMs = Math.min(outageMs, REJOIN_WINDOW_MS)
+      const isFleetOutage = options.lastFleetOutageAtMs() > now() - spanMs
+      if (outageMs > SHORT_OUTAGE_MS && isFleetOutage)
+        targetList.startRejoinWindow(now())
     },
   })
 
   return {
-    lastPollAgeMs: () => (mustRead ? Infinity : follower.lastPollAgeMs()),
+    lastPollAgeMs: () => (mustPoll ? Infinity : follower.lastPollAgeMs()),
     ageMs() {
-      if (mustRead) return Infinity
+      if (mustPoll) return Infinity
       return Math.min(follower.lastPollAgeMs(), now() - confirmedAtMs)
     },
-    isLoaded: () => isKnown,
+    isLoaded: () => isLoaded,
     confirm,
-    applyPeerList: borrow,
+    applyPeerList,
     invalidate() {
-      mustRead = true
+      mustPoll = true
       confirmedAtMs = -Infinity
     },
     stop: () => {
--- a/packages/router/src/node/targets/target.ts
+++ b/packages/router/src/node/targets/target.ts
@@ -1,12 +1,12 @@
 /** One running instance of a service. */
 export interface Target {
-  /** Names this incarnation; a restart brings another. */
+  /** Identifies this incarnation; a restart gets a new id. */
   readonly id: string
   readonly service: string
   readonly host: string
   readonly port: number
-  /** Requests that run at once. */
+  /** Requests that run concurrently. */
   readonly slots: number
-  /** Whether it announced that it leaves. */
+  /** Whether it has announced its shutdown. */
   readonly draining: boolean
 }
--- a/packages/router/src/node/targets/targetFailure.ts
+++ b/packages/router/src/node/targets/targetFailure.ts
@@ -1,26 +1,26 @@
 import type { Verdict } from '@auburnbay/core/verdict/verdict'
 
-/** Why a target gave no answer that may be passed on. */
+/** Why a target gave no response that may be forwarded. */
 export enum TargetFailureCause {
   /** No connection could be opened. */
   Unreachable = 'unreachable',
   /** The connection broke or carried no valid HTTP. */
   Broken = 'broken',
-  /** No answer came in time. */
+  /** No response came in time. */
   Silent = 'silent',
-  /** The caller went away or the answer was overdue. */
+  /** The caller disconnected or the deadline passed. */
   Aborted = 'aborted',
-  /** The target refused before running. */
+  /** The target refused the request without running it. */
   Refused = 'refused',
   /** Another target has the address now. */
   WrongTarget = 'wrong-target',
-  /** The answer belongs to another request. */
+  /** The response belongs to another request. */
   ForeignAnswer = 'foreign-answer',
-  /** The target does not vouch for the answer. */
+  /** The response lacks the target's signature. */
   Unsigned = 'unsigned',
 }
 
-/** A send that brought no answer. */
+/** A send without a response that may be forwarded. */
 export interface TargetFailure {
   readonly verdict: Verdict
   readonly cause: TargetFailureCause
--- a/packages/router/src/node/targets/targetProtocol.ts
+++ b/packages/router/src/node/targets/targetProtocol.ts
@@ -2,29 +2,29 @@
 import type { ResponseHead } from './responseHead.js'
 import type { Target } from './target.js'
 
-/** What a router adds to a request for one target. */
+/** Data that a router adds to a request for one target. */
 export interface TargetRequestOptions {
   readonly bodyBytes: number
-  /** Milliseconds that are left for the answer. */
+  /** Milliseconds that remain until the response is due. */
   readonly remainingMs: number
   readonly target: Target
   readonly customer?: string
-  /** 0 is the most urgent; undefined leaves it to the target. */
+  /** 0 is the most urgent; without it the target decides. */
   readonly priority?: number
-  /** Another target, whose cache holds what the request shares with others. */
+  /** Another target that caches the shared part of the prompt. */
   readonly fetchFrom?: Target
-  /** Last event that the caller has, of a stream that goes on. */
+  /** Last event that the caller received, of a stream that is resumed. */
   readonly lastEventId?: string
 }
 
-/** How requests to targets and their answers are written. */
+/** Format of requests to targets and of their responses. */
 export interface TargetProtocol {
-  /** Returns names and values, alternating, for the request of a caller. */
+  /** Returns the headers of a request to a target, as alternating names and values. */
   requestHeaders(
     rawHeaders: readonly string[],
-    orders: TargetRequestOptions,
+    options: TargetRequestOptions,
   ): string[]
   decodeHead(res: IncomingMessage, attemptId: string): ResponseHead
-  /** Returns names and values, alternating, that the caller gets. */
+  /** Returns the headers of a response to the caller, as alternating names and values. */
   responseHeaders(rawHeaders: readonly string[]): string[]
 }
