--- a/packages/router/src/node/peers/__tests__/createPendingUpdates.test.ts
+++ b/packages/router/src/node/peers/__tests__/createPendingUpdates.test.ts
@@ -6,46 +6,46 @@
 import type { PeerDigest } from '../peerDigest.js'
 
 const PEERS = 59
-const MOST = 16
-const TELLINGS = Math.ceil(PEERS / MOST)
+const MAX_DUE = 16
+const ROUNDS = Math.ceil(PEERS / MAX_DUE)
 
-describe('placements that are told', () => {
-  it('reach every peer, also where one digest goes to a few of them', () => {
+describe('createPendingUpdates', () => {
+  it('sends a location to every peer if a digest goes to only some of them', () => {
     const table = createPeerTable({
-      lostMs: 2_000,
-      probeMs: 1_000,
-      forgetMs: 60_000,
+      timeoutMs: 2_000,
+      probeIntervalMs: 1_000,
+      expiryMs: 60_000,
     })
-    for (let place = 0; place < PEERS; place += 1)
-      table.heard(
-        { router: `r${place}`, sequence: 1 } as PeerDigest,
+    for (let i = 0; i < PEERS; i += 1)
+      table.update(
+        { router: `r${i}`, sequence: 1 } as PeerDigest,
         '10.0.0.1',
         0,
       )
-    let placed: CacheLocation[] = []
-    const news = createPendingUpdates(() => {
-      const taken = placed
-      placed = []
+    let added: CacheLocation[] = []
+    const updates = createPendingUpdates(() => {
+      const taken = added
+      added = []
       return taken
     })
-    const heard = new Map<string, Set<string>>()
+    const receivers = new Map<string, Set<string>>()
     for (let round = 1; round <= 40; round += 1) {
       const key = `prompt-${round}`
-      placed = [[key, 'target']]
-      const told = news.next(TELLINGS)
-      for (const { router } of table.due(round, MOST))
-        for (const [known] of told) {
-          const hearers = heard.get(known) ?? new Set()
-          heard.set(known, hearers.add(router))
+      added = [[key, 'target']]
+      const sent = updates.next(ROUNDS)
+      for (const { router } of table.takeDue(round, MAX_DUE))
+        for (const [prompt] of sent) {
+          const routers = receivers.get(prompt) ?? new Set()
+          receivers.set(prompt, routers.add(router))
         }
     }
-    for (let round = 1; round <= 40 - TELLINGS; round += 1)
-      assert.equal(heard.get(`prompt-${round}`)?.size, PEERS)
+    for (let round = 1; round <= 40 - ROUNDS; round += 1)
+      assert.equal(receivers.get(`prompt-${round}`)?.size, PEERS)
   })
 
-  it('are told once where a digest reaches all', () => {
-    const news = createPendingUpdates(() => [['prompt', 'target']])
-    assert.equal(news.next(1).length, 1)
-    assert.equal(news.next(1).length, 1)
+  it('sends a location once if a digest goes to all peers', () => {
+    const updates = createPendingUpdates(() => [['prompt', 'target']])
+    assert.equal(updates.next(1).length, 1)
+    assert.equal(updates.next(1).length, 1)
   })
 })
--- a/packages/router/src/node/peers/__tests__/peerState.test.ts
+++ b/packages/router/src/node/peers/__tests__/peerState.test.ts
@@ -7,22 +7,22 @@
   type PeerState,
 } from '../peerState.js'
 
-/** Bytes that the narrowest link of an entry VM carries in a millisecond: 7 Mbit/s. */
+/** Capacity of the narrowest link of an entry VM, in bytes per millisecond: 7 Mbit/s. */
 const LINK_BYTES_PER_MS = 875
-/** Routers that may ask one router for a new version. */
-const ASKERS = 65
-/** Milliseconds within which each of them needs its answer. */
-const ANSWER_MS = 800
+/** Routers that may fetch a new version from one router. */
+const FETCHING_ROUTERS = 65
+/** Milliseconds within which each of them needs the response. */
+const RESPONSE_MS = 800
 
-const routes = Array.from({ length: 350 }, (_, place) => ({
-  name: `route-${place}`,
-  host: `host-${place % 7}.example`,
-  pathPrefix: `/prefix-${(place * 2_654_435_761) % 1_000_003}/`,
+const routes = Array.from({ length: 350 }, (_, i) => ({
+  name: `route-${i}`,
+  host: `host-${i % 7}.example`,
+  pathPrefix: `/prefix-${(i * 2_654_435_761) % 1_000_003}/`,
   kind: RequestKind.Idempotent,
-  services: [{ service: `service-${place % 3}`, weight: 1 }],
+  services: [{ service: `service-${i % 3}`, weight: 1 }],
   timeoutMs: 4_000,
   targetLatencyMs: 336,
-  priority: place % 4,
+  priority: i % 4,
   maxAttempts: 2,
   anonymous: false,
   cachesPrompts: false,
@@ -39,19 +39,19 @@
   targetsAgeMs: 40,
 }
 
-describe('the state that peers lend', () => {
-  it('is read as it was written', () => {
+describe('peerState', () => {
+  it('decodes what was encoded', () => {
     assert.deepEqual(decodePeerState(encodePeerState(state)), state)
   })
 
-  it('reaches all routers in time over a narrow link, with 350 routes', () => {
-    const bytes = encodePeerState(state).length * ASKERS
-    assert.ok(bytes <= LINK_BYTES_PER_MS * ANSWER_MS, `${bytes} bytes`)
+  it('is small enough for 65 routers to fetch 350 routes over a narrow link in time', () => {
+    const bytes = encodePeerState(state).length * FETCHING_ROUTERS
+    assert.ok(bytes <= LINK_BYTES_PER_MS * RESPONSE_MS, `${bytes} bytes`)
   })
 
-  it('is none where an answer is torn or of another kind', () => {
-    const torn = encodePeerState(state).subarray(0, 100)
-    assert.equal(decodePeerState(torn), undefined)
+  it('rejects a truncated response and one of another format', () => {
+    const truncated = encodePeerState(state).subarray(0, 100)
+    assert.equal(decodePeerState(truncated), undefined)
     assert.equal(decodePeerState(Buffer.from('{}')), undefined)
   })
 })
--- a/packages/router/src/node/peers/createDigestSocket.ts
+++ b/packages/router/src/node/peers/createDigestSocket.ts
@@ -8,16 +8,16 @@
   close(): void
 }
 
-/** Family of the addresses, as the system's lookup names it. */
+/** Address family, as in dns.lookup. */
 const IPV4 = 4
 
-/** Opens a socket; rejects when the address is in use. */
+/** Opens a socket; rejects if the address is in use. */
 export function createDigestSocket(
   address: PeerAddress,
   onDigest: (digest: PeerDigest, host: string) => void,
   onError: (error: Error) => void,
 ): Promise<DigestSocket> {
-  // Peers are known by numeric addresses: there is nothing to look up.
+  // Peer addresses are numeric, so no lookup is needed.
   const lookup: SocketOptions['lookup'] = (host, _options, done) => {
     done(null, host, IPV4)
   }
--- a/packages/router/src/node/peers/createPeerStateFetcher.ts
+++ b/packages/router/src/node/peers/createPeerStateFetcher.ts
@@ -7,89 +7,92 @@
 import { decodePeerState } from './peerState.js'
 import type { RouterState } from './routerState.js'
 
-/** Milliseconds until a peer's answer is due. */
-const ANSWER_TIMEOUT_MS = 800
-/** Milliseconds between two askings. */
-const PAUSE_MS = 100
+/** Timeout of a fetch, in milliseconds. */
+const FETCH_TIMEOUT_MS = 800
+/** Milliseconds between two fetches. */
+const FETCH_PAUSE_MS = 100
 
-/** What a borrower works with. */
-export interface StateBorrowerOptions {
-  readonly knowledge: RouterState
-  readonly onPlacements: (placements: readonly CacheLocation[]) => void
+/** Options for {@link createPeerStateFetcher}. */
+export interface PeerStateFetcherOptions {
+  readonly routerState: RouterState
+  readonly onCacheLocations: (locations: readonly CacheLocation[]) => void
   readonly log: DecisionLog
-  /** Steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number
 }
 
-/** Takes configuration and targets from peers that know newer ones. */
-export interface StateBorrower {
-  /** Looks at a peer that was just heard. */
-  heard(peer: Peer): void
+/** Fetches configuration and targets from peers that have newer ones. */
+export interface PeerStateFetcher {
+  /** Compares a peer's new digest with this router's state and fetches newer state. */
+  onDigest(peer: Peer): void
 }
 
-/** Returns how long ago a peer surely had all changes of the list of targets. */
-function targetsAgeOf({ digest, heardAtMs }: Peer, nowMs: number): number {
-  return (digest?.targetsAgeMs ?? Infinity) + nowMs - heardAtMs
+/** Returns the upper bound on the staleness of a peer's target list, in milliseconds. */
+function targetsAgeOf({ digest, receivedAtMs }: Peer, nowMs: number): number {
+  return (digest?.targetsAgeMs ?? Infinity) + nowMs - receivedAtMs
 }
 
-/** Creates a borrower that asks one peer at a time. */
-export function createStateBorrower(
-  options: StateBorrowerOptions,
-): StateBorrower {
-  const { knowledge, onPlacements, log, now } = options
-  let isAsking = false
-  let hasAsked = false
+/** Creates a fetcher that fetches from one peer at a time. */
+export function createPeerStateFetcher(
+  options: PeerStateFetcherOptions,
+): PeerStateFetcher {
+  const { routerState, onCacheLocations, log, now } = options
+  let isFetching = false
+  let hasFetched = false
 
   function hasNewer(peer: Peer): boolean {
     const { digest } = peer
     if (!digest) return false
-    // A router that has just started learns where prompts are cached.
-    if (!hasAsked) return true
-    if (digest.configurationVersion > knowledge.configurationVersion())
+    // A router that has just started needs the cache locations.
+    if (!hasFetched) return true
+    if (digest.configurationVersion > routerState.configurationVersion())
       return true
     const ageMs = targetsAgeOf(peer, now())
-    if (ageMs >= knowledge.targetsAgeMs()) return false
-    if (digest.targetsFingerprint !== knowledge.targetsFingerprint())
+    if (ageMs >= routerState.targetsAgeMs()) return false
+    if (digest.targetsFingerprint !== routerState.targetsFingerprint())
       return true
-    knowledge.confirmTargets(ageMs)
+    routerState.confirmTargets(ageMs)
     return false
   }
 
-  async function ask({ router, address }: Peer): Promise<void> {
+  async function fetchState({ router, address }: Peer): Promise<void> {
     const { host, port } = address
     const path = statePath({
-      knownVersion: knowledge.configurationVersion(),
-      ...(hasAsked && { targetsFingerprint: knowledge.targetsFingerprint() }),
-      wantsPlacements: !hasAsked,
+      knownVersion: routerState.configurationVersion(),
+      ...(hasFetched && {
+        targetsFingerprint: routerState.targetsFingerprint(),
+      }),
+      wantsPlacements: !hasFetched,
     })
-    const askedAtMs = now()
+    const sentAtMs = now()
     const reply = await requestBytes({
       url: `http://${host}:${port}${path}`,
       method: 'GET',
-      timeoutMs: ANSWER_TIMEOUT_MS,
+      timeoutMs: FETCH_TIMEOUT_MS,
     })
     const state = reply.isOk() ? decodePeerState(reply.value.body) : undefined
     if (!state) {
-      log.write(LogEvent.PeerFailed, { router, reason: 'no state in time' })
+      const reason = `no valid state within ${FETCH_TIMEOUT_MS} ms`
+      log.write(LogEvent.PeerFailed, { router, reason })
       return
     }
-    hasAsked = true
+    hasFetched = true
     const { configuration, placements, targets, targetsAgeMs } = state
-    if (configuration) knowledge.applyConfiguration(configuration, router)
-    if (placements) onPlacements(placements)
-    const ageMs = (targetsAgeMs ?? Infinity) + now() - askedAtMs
-    if (ageMs >= knowledge.targetsAgeMs()) return
-    if (targets) knowledge.applyTargets(targets, ageMs)
+    if (configuration) routerState.applyConfiguration(configuration, router)
+    if (placements) onCacheLocations(placements)
+    const ageMs = (targetsAgeMs ?? Infinity) + now() - sentAtMs
+    if (ageMs >= routerState.targetsAgeMs()) return
+    if (targets) routerState.applyTargets(targets, ageMs)
   }
 
   return {
-    heard(peer) {
-      if (isAsking || !hasNewer(peer)) return
-      isAsking = true
-      void ask(peer).finally(() => {
+    onDigest(peer) {
+      if (isFetching || !hasNewer(peer)) return
+      isFetching = true
+      void fetchState(peer).finally(() => {
         setTimeout(() => {
-          isAsking = false
-        }, PAUSE_MS).unref()
+          isFetching = false
+        }, FETCH_PAUSE_MS).unref()
       })
     },
   }
--- a/packages/router/src/node/peers/createPeerStateServer.ts
+++ b/packages/router/src/node/peers/createPeerStateServer.ts
@@ -8,39 +8,39 @@
   type PeerStateQuery,
 } from './peerState.js'
 
-/** Path of a router's state. */
+/** Path at which a router serves its state. */
 const STATE_PATH = '/state'
 
-/** Names of what a query says. */
-enum Field {
+/** Names of the query parameters. */
+enum Parameter {
   KnownVersion = 'known',
   TargetsFingerprint = 'targets',
   Placements = 'placements',
 }
 
-/** Returns the path with which a peer's state is asked for. */
+/** Returns the path and query of a request for a peer's state. */
 export function statePath(query: PeerStateQuery): string {
   const { knownVersion, targetsFingerprint } = query
   const search = new URLSearchParams({
-    [Field.KnownVersion]: String(knownVersion),
+    [Parameter.KnownVersion]: String(knownVersion),
     ...(targetsFingerprint !== undefined && {
-      [Field.TargetsFingerprint]: String(targetsFingerprint),
+      [Parameter.TargetsFingerprint]: String(targetsFingerprint),
     }),
-    ...(query.wantsPlacements && { [Field.Placements]: '' }),
+    ...(query.wantsPlacements && { [Parameter.Placements]: '' }),
   })
   return `${STATE_PATH}?${search.toString()}`
 }
 
 function parseQuery(search: URLSearchParams): PeerStateQuery {
-  const fingerprint = search.get(Field.TargetsFingerprint)
+  const fingerprint = search.get(Parameter.TargetsFingerprint)
   return {
-    knownVersion: Number(search.get(Field.KnownVersion) ?? 0),
+    knownVersion: Number(search.get(Parameter.KnownVersion) ?? 0),
     ...(fingerprint !== null && { targetsFingerprint: Number(fingerprint) }),
-    wantsPlacements: search.has(Field.Placements),
+    wantsPlacements: search.has(Parameter.Placements),
   }
 }
 
-/** Lends this router's state to its peers. */
+/** Serves this router's state to its peers. */
 export interface PeerStateServer {
   readonly address: PeerAddress
   close(): void
@@ -54,7 +54,7 @@
   const server = createServer((req, res) => {
     const url = new URL(req.url ?? '/', 'http://peer')
     if (url.pathname !== STATE_PATH) {
-      sendJson(res, 404, { error: `ask for ${STATE_PATH}` })
+      sendJson(res, 404, { error: `not found; the state is at ${STATE_PATH}` })
       return
     }
     const body = encodePeerState(stateFor(parseQuery(url.searchParams)))
--- a/packages/router/src/node/peers/createPeerTable.ts
+++ b/packages/router/src/node/peers/createPeerTable.ts
@@ -1,51 +1,51 @@
 import type { PeerAddress } from './peerAddress.js'
 import type { PeerDigest } from './peerDigest.js'
 
-/** A router that this one knows of. */
+/** Another router of the fleet. */
 export interface Peer {
   readonly router: string
   readonly address: PeerAddress
-  /** Steady time of its last digest in milliseconds; -Infinity before any. */
-  heardAtMs: number
-  /** Steady time of the last digest sent to it. */
-  toldAtMs: number
+  /** Monotonic time of its last digest in milliseconds; -Infinity before any. */
+  receivedAtMs: number
+  /** Monotonic time of the last digest sent to it, in milliseconds. */
+  sentAtMs: number
   digest?: PeerDigest
 }
 
-/** The routers that this one knows of. */
+/** The peers that this router knows of. */
 export interface PeerTable {
-  /** Notes an address that a list of routers gives. */
-  listed(router: string, address: PeerAddress, nowMs: number): void
-  /** Takes in a digest; returns whether it is new. */
-  heard(digest: PeerDigest, host: string, nowMs: number): boolean
-  /** Returns a peer that was heard lately. */
+  /** Records a peer's address from the router directory. */
+  addListed(router: string, address: PeerAddress, nowMs: number): void
+  /** Records a digest; returns whether it is newer than the peer's last one. */
+  update(digest: PeerDigest, host: string, nowMs: number): boolean
+  /** Returns a peer that is not lost. */
   find(router: string, nowMs: number): Peer | undefined
-  /** Returns the peers that a digest is due for, `most` of them, and notes that it is sent. */
-  due(nowMs: number, most: number): Peer[]
-  /** Returns the peers heard lately that are not stopping. */
+  /** Returns up to `max` peers that a digest is due for, and records that it is sent. */
+  takeDue(nowMs: number, max: number): Peer[]
+  /** Returns the peers that are neither lost nor stopping. */
   live(nowMs: number): Peer[]
-  /** Forgets peers that were silent for long; returns them. */
+  /** Removes expired peers and returns them. */
   expire(nowMs: number): Peer[]
 }
 
-/** Times of the table, in milliseconds. */
+/** Options for {@link createPeerTable}, in milliseconds. */
 export interface PeerTableOptions {
-  /** Silence after which a peer counts as lost. */
-  readonly lostMs: number
-  /** Time between two digests to a lost peer, so that its next start finds this router. */
-  readonly probeMs: number
-  /** Silence after which a peer is forgotten. */
-  readonly forgetMs: number
+  /** Time without a digest after which a peer counts as lost. */
+  readonly timeoutMs: number
+  /** Interval of digests to a lost peer, so that it finds this router when it restarts. */
+  readonly probeIntervalMs: number
+  /** Time without a digest after which a peer is removed. */
+  readonly expiryMs: number
 }
 
 /** Creates a table without peers. */
 export function createPeerTable(options: PeerTableOptions): PeerTable {
-  const { lostMs, probeMs, forgetMs } = options
+  const { timeoutMs, probeIntervalMs, expiryMs } = options
   const peers = new Map<string, Peer>()
   const listedAtMs = new Map<string, number>()
 
   function isLive(peer: Peer, nowMs: number): boolean {
-    return nowMs - peer.heardAtMs <= lostMs
+    return nowMs - peer.receivedAtMs <= timeoutMs
   }
 
   function isNewer(digest: PeerDigest, last: PeerDigest | undefined): boolean {
@@ -54,21 +54,21 @@
   }
 
   return {
-    listed(router, address, nowMs) {
+    addListed(router, address, nowMs) {
       const peer = peers.get(router)
       listedAtMs.set(router, nowMs)
       if (peer && isLive(peer, nowMs)) return
-      const heardAtMs = peer?.heardAtMs ?? -Infinity
-      peers.set(router, { router, address, heardAtMs, toldAtMs: -Infinity })
+      const receivedAtMs = peer?.receivedAtMs ?? -Infinity
+      peers.set(router, { router, address, receivedAtMs, sentAtMs: -Infinity })
     },
-    heard(digest, host, nowMs) {
+    update(digest, host, nowMs) {
       const peer = peers.get(digest.router)
       if (peer && !isNewer(digest, peer.digest)) return false
       peers.set(digest.router, {
         router: digest.router,
         address: { host, port: digest.port },
-        heardAtMs: nowMs,
-        toldAtMs: peer?.toldAtMs ?? -Infinity,
+        receivedAtMs: nowMs,
+        sentAtMs: peer?.sentAtMs ?? -Infinity,
         digest,
       })
       return true
@@ -77,14 +77,15 @@
       const peer = peers.get(router)
       return peer && isLive(peer, nowMs) ? peer : undefined
     },
-    due(nowMs, most) {
+    takeDue(nowMs, max) {
       const due = [...peers.values()]
         .filter(
-          (peer) => isLive(peer, nowMs) || nowMs - peer.toldAtMs >= probeMs,
+          (peer) =>
+            isLive(peer, nowMs) || nowMs - peer.sentAtMs >= probeIntervalMs,
         )
-        .sort((a, b) => a.toldAtMs - b.toldAtMs)
-        .slice(0, most)
-      for (const peer of due) peer.toldAtMs = nowMs
+        .sort((a, b) => a.sentAtMs - b.sentAtMs)
+        .slice(0, max)
+      for (const peer of due) peer.sentAtMs = nowMs
       return due
     },
     live(nowMs) {
@@ -93,18 +94,18 @@
       )
     },
     expire(nowMs) {
-      const forgotten: Peer[] = []
+      const expired: Peer[] = []
       for (const peer of peers.values()) {
         const seenAtMs = Math.max(
-          peer.heardAtMs,
+          peer.receivedAtMs,
           listedAtMs.get(peer.router) ?? -Infinity,
         )
-        if (nowMs - seenAtMs <= forgetMs) continue
+        if (nowMs - seenAtMs <= expiryMs) continue
         peers.delete(peer.router)
         listedAtMs.delete(peer.router)
-        forgotten.push(peer)
+        expired.push(peer)
       }
-      return forgotten
+      return expired
     },
   }
 }
--- a/packages/router/src/node/peers/createPeers.ts
+++ b/packages/router/src/node/peers/createPeers.ts
@@ -9,17 +9,17 @@
 import { createPendingUpdates } from './createPendingUpdates.js'
 import { createPeerStateServer } from './createPeerStateServer.js'
 import { createPeerTable, type Peer } from './createPeerTable.js'
-import { createStateBorrower } from './createStateBorrower.js'
+import { createPeerStateFetcher } from './createPeerStateFetcher.js'
 import { joinDirectory } from './joinDirectory.js'
 import type { PeerDigest } from './peerDigest.js'
 import { decodeCacheLocations, decodeLoad, encodeLoad } from './digestLoad.js'
-import { isCovered, type ReadingAge } from './readerDuty.js'
+import { hasFreshReader, type PollAge } from './hasFreshReader.js'
 import type { RouterState } from './routerState.js'
 
-/** What the part for peers works with. */
+/** Options for {@link createPeers}. */
 export interface PeersOptions {
   readonly settings: RouterSettings
-  /** The bounds as they are now. */
+  /** Returns the current bounds, which a reload of the settings may change. */
   readonly bounds: () => RouterSettings['bounds']
   readonly incarnation: string
   readonly state: RouterState
@@ -28,23 +28,23 @@
   readonly directory: RouterDirectory
   readonly isStopping: () => boolean
   readonly log: DecisionLog
-  /** Steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number
 }
 
-/** Tells peers of this router and hears of them. */
+/** Exchange of digests and state with the other routers of the fleet. */
 export interface Peers {
-  /** Routers in the fleet, this one included; a guess on the safe side while alone. */
+  /** Number of live routers including this one; a conservative default while no peer is known. */
   routerCount(): number
-  /** Whether peers read configurations for this router. */
+  /** Whether peers poll configurations for this router. */
   hasFreshConfigurationReader(): boolean
-  /** Whether peers read the list of targets for this router. */
+  /** Whether peers poll the target list for this router. */
   hasFreshTargetReader(): boolean
-  /** Last time at which no peer had read the list of targets lately, in milliseconds. */
+  /** Last time at which no peer had polled the target list within SHORT_OUTAGE_MS, in milliseconds. */
   lastFleetOutageAtMs(): number
-  /** Tells every peer at once. */
+  /** Sends a digest to the peers that are due, at once. */
   broadcast(): void
-  /** Tells every peer within some milliseconds, once for many calls. */
+  /** Broadcasts after a short delay; further calls until then have no effect. */
   scheduleBroadcast(): void
   close(): void
 }
@@ -53,37 +53,30 @@
   return Number.isFinite(value) ? Math.round(value) : null
 }
 
-/** Starts exchanging digests; rejects when the address is in use. */
+/** Starts to exchange digests; rejects if the address is in use. */
 export async function createPeers(options: PeersOptions): Promise<Peers> {
-  const {
-    settings,
-    state: knowledge,
-    load,
-    cacheLocations: placements,
-    log,
-    now,
-  } = options
+  const { settings, state, load, cacheLocations, log, now } = options
   const { id: router } = settings.router
   let sequence = 0
-  let unreadAtMs = now()
+  let lastFleetOutageAtMs = now()
   const table = createPeerTable({
-    lostMs: constants.PEER_TIMEOUT_MS,
-    probeMs: constants.PEER_PROBE_INTERVAL_MS,
-    forgetMs: constants.PEER_EXPIRY_MS,
+    timeoutMs: constants.PEER_TIMEOUT_MS,
+    probeIntervalMs: constants.PEER_PROBE_INTERVAL_MS,
+    expiryMs: constants.PEER_EXPIRY_MS,
   })
-  const borrower = createStateBorrower({
-    knowledge,
-    onPlacements: (borrowed) => {
-      placements.merge(borrowed)
+  const fetcher = createPeerStateFetcher({
+    routerState: state,
+    onCacheLocations: (locations) => {
+      cacheLocations.merge(locations)
     },
     log,
     now,
   })
 
-  const news = createPendingUpdates(() => placements.takeUpdates())
+  const updates = createPendingUpdates(() => cacheLocations.takeUpdates())
 
-  /** Digests until every peer has got one. */
-  const tellings = (): number =>
+  /** Returns the digests needed to reach every peer once. */
+  const roundsToReachAll = (): number =>
     Math.ceil(table.live(now()).length / constants.DIGEST_FANOUT)
 
   function digest(): PeerDigest {
@@ -93,83 +86,87 @@
       incarnation: options.incarnation,
       sequence,
       port: server.address.port,
-      configurationVersion: knowledge.configurationVersion(),
-      configurationReadMs: finiteOrNull(knowledge.configurationPollAgeMs()),
-      targetsFingerprint: knowledge.targetsFingerprint(),
-      targetsReadMs: finiteOrNull(knowledge.targetsPollAgeMs()),
-      targetsAgeMs: finiteOrNull(knowledge.targetsAgeMs()),
+      configurationVersion: state.configurationVersion(),
+      configurationReadMs: finiteOrNull(state.configurationPollAgeMs()),
+      targetsFingerprint: state.targetsFingerprint(),
+      targetsReadMs: finiteOrNull(state.targetsPollAgeMs()),
+      targetsAgeMs: finiteOrNull(state.targetsAgeMs()),
       stopping: options.isStopping(),
-      ...encodeLoad(knowledge.targetIds(), load.own(), news.next(tellings())),
+      ...encodeLoad(
+        state.targetIds(),
+        load.own(),
+        updates.next(roundsToReachAll()),
+      ),
     }
   }
 
-  /** Takes in counts and placements, which name targets by their place in a list. */
-  function takeWork(heard: PeerDigest): void {
-    if (heard.targetsFingerprint !== knowledge.targetsFingerprint()) return
-    const ids = knowledge.targetIds()
-    load.updatePeer(heard.router, decodeLoad(ids, heard), now())
-    placements.merge(decodeCacheLocations(ids, heard))
+  /** Applies load and cache locations, whose indexes are valid for one target list only. */
+  function applyLoad(received: PeerDigest): void {
+    if (received.targetsFingerprint !== state.targetsFingerprint()) return
+    const ids = state.targetIds()
+    load.updatePeer(received.router, decodeLoad(ids, received), now())
+    cacheLocations.merge(decodeCacheLocations(ids, received))
   }
 
-  function onDigest(heard: PeerDigest, host: string): void {
-    if (heard.router === router) return
-    const wasLive = table.find(heard.router, now()) !== undefined
-    if (!table.heard(heard, host, now())) return
-    if (!wasLive) log.write(LogEvent.PeerFound, { peer: heard.router })
-    takeWork(heard)
-    const peer = table.find(heard.router, now())
-    if (peer) borrower.heard(peer)
+  function onDigest(received: PeerDigest, host: string): void {
+    if (received.router === router) return
+    const wasLive = table.find(received.router, now()) !== undefined
+    if (!table.update(received, host, now())) return
+    if (!wasLive) log.write(LogEvent.PeerFound, { peer: received.router })
+    applyLoad(received)
+    const peer = table.find(received.router, now())
+    if (peer) fetcher.onDigest(peer)
   }
 
   const server = await createPeerStateServer(
     settings.listen.peers,
     ({ knownVersion, targetsFingerprint, wantsPlacements }) => {
-      const configuration = knowledge.configurationSince(knownVersion)
-      const hasTargets = targetsFingerprint === knowledge.targetsFingerprint()
+      const configuration = state.configurationSince(knownVersion)
+      const hasTargets = targetsFingerprint === state.targetsFingerprint()
       return {
         ...(configuration && { configuration }),
-        ...(!hasTargets && { targets: knowledge.targets() }),
-        targetsAgeMs: finiteOrNull(knowledge.targetsAgeMs()),
-        ...(wantsPlacements && { placements: placements.all() }),
+        ...(!hasTargets && { targets: state.targets() }),
+        targetsAgeMs: finiteOrNull(state.targetsAgeMs()),
+        ...(wantsPlacements && { placements: cacheLocations.all() }),
       }
     },
   )
-  // Datagrams come to the same port.
+  // Digests are received on the same port, over UDP.
   const { address } = server
   const socket = await createDigestSocket(address, onDigest, (error) => {
     log.write(LogEvent.PeerFailed, { reason: error.message })
   })
 
-  function readingAge(peer: Peer): number {
-    return (peer.digest?.targetsReadMs ?? Infinity) + now() - peer.heardAtMs
+  function pollAge(peer: Peer): number {
+    return (peer.digest?.targetsReadMs ?? Infinity) + now() - peer.receivedAtMs
   }
 
-  /** Age of a peer's reading up to which this router need not read. */
-  function readerAgeMs(): number {
+  /** Returns the age up to which a peer's last poll is fresh, in milliseconds. */
+  function maxReaderAgeMs(): number {
     const { configurationMs, drainMs } = options.bounds()
     const boundMs = Math.min(configurationMs, drainMs)
     return boundMs / constants.READER_AGE_DIVISOR
   }
 
-  function peersRead(ageOf: ReadingAge): boolean {
+  function hasReader(pollAgeOf: PollAge): boolean {
     const live = table.live(now())
-    return isCovered(router, live, ageOf, readerAgeMs(), now())
+    return hasFreshReader(router, live, pollAgeOf, maxReaderAgeMs(), now())
   }
 
-  const peersReadTargets = (): boolean =>
-    peersRead((last) => last.targetsReadMs)
+  const hasFreshTargetReader = (): boolean =>
+    hasReader((last) => last.targetsReadMs)
 
-  /** Whether this router reads for its peers. */
+  /** Whether this router polls the target list for its peers. */
   function isReader(): boolean {
-    if (knowledge.targetsPollAgeMs() > readerAgeMs()) return false
-    return !peersReadTargets()
+    if (state.targetsPollAgeMs() > maxReaderAgeMs()) return false
+    return !hasFreshTargetReader()
   }
 
-  function tell(): void {
-    const youngest = Math.min(...table.live(now()).map(readingAge))
-    if (youngest > constants.SHORT_OUTAGE_MS) unreadAtMs = now()
-    // A reader's peers must hear of each reading before it is too old for them.
-    const due = table.due(
+  function broadcast(): void {
+    const lastPollAgeMs = Math.min(...table.live(now()).map(pollAge))
+    if (lastPollAgeMs > constants.SHORT_OUTAGE_MS) lastFleetOutageAtMs = now()
+    // A reader sends to all peers: each poll must reach them while it is fresh.
+    const due = table.takeDue(
       now(),
       isReader() ? Infinity : constants.DIGEST_FANOUT,
     )
@@ -180,26 +177,26 @@
     )
   }
 
-  const telling = setInterval(() => {
+  const broadcasts = setInterval(() => {
     for (const { router: peer } of table.expire(now()))
       log.write(LogEvent.PeerLost, { peer })
-    tell()
+    broadcast()
   }, constants.DIGEST_INTERVAL_MS)
-  let soon: NodeJS.Timeout | undefined
+  let scheduled: NodeJS.Timeout | undefined
 
-  function tellSoon(): void {
-    soon ??= setTimeout(() => {
-      soon = undefined
-      tell()
+  function scheduleBroadcast(): void {
+    scheduled ??= setTimeout(() => {
+      scheduled = undefined
+      broadcast()
     }, constants.BROADCAST_DELAY_MS)
   }
 
-  const joined = joinDirectory({
+  const directory = joinDirectory({
     directory: options.directory,
     router,
     address,
     onListed: (peer, peerAddress) => {
-      table.listed(peer, peerAddress, now())
+      table.addListed(peer, peerAddress, now())
     },
   })
 
@@ -209,15 +206,15 @@
       return live > 0 ? live + 1 : constants.DEFAULT_ROUTER_COUNT
     },
     hasFreshConfigurationReader: () =>
-      peersRead((last) => last.configurationReadMs),
-    hasFreshTargetReader: peersReadTargets,
-    lastFleetOutageAtMs: () => unreadAtMs,
-    broadcast: tell,
-    scheduleBroadcast: tellSoon,
+      hasReader((last) => last.configurationReadMs),
+    hasFreshTargetReader,
+    lastFleetOutageAtMs: () => lastFleetOutageAtMs,
+    broadcast,
+    scheduleBroadcast,
     close() {
-      clearTimeout(soon)
-      clearInterval(telling)
-      joined.leave()
+      clearTimeout(scheduled)
+      clearInterval(broadcasts)
+      directory.leave()
       socket.close()
       server.close()
     },
--- a/packages/router/src/node/peers/createPendingUpdates.ts
+++ b/packages/router/src/node/peers/createPendingUpdates.ts
@@ -1,19 +1,19 @@
 import type { CacheLocation } from '../routing/createCacheLocations.js'
 
-/** Placements that are told until every peer has heard them. */
+/** Cache locations that are sent until every peer has received them. */
 export interface PendingUpdates {
-  /** Returns what the next digest tells, when `tellings` of them reach all peers. */
-  next(tellings: number): readonly CacheLocation[]
+  /** Returns the locations for the next digest, if every peer gets one of `rounds` digests. */
+  next(rounds: number): readonly CacheLocation[]
 }
 
-/** Creates batches of what `take` returns for each digest. */
+/** Creates pending updates; `take` returns the locations added since its last call. */
 export function createPendingUpdates(
   take: () => CacheLocation[],
 ): PendingUpdates {
   let batches: CacheLocation[][] = []
   return {
-    next(tellings) {
-      batches = [...batches, take()].slice(-Math.max(1, tellings))
+    next(rounds) {
+      batches = [...batches, take()].slice(-Math.max(1, rounds))
       return batches.flat()
     },
   }
--- a/packages/router/src/node/peers/createRouterState.ts
+++ b/packages/router/src/node/peers/createRouterState.ts
@@ -4,38 +4,38 @@
 import type { TargetsFollower } from '../targets/followTargets.js'
 import type { RouterState } from './routerState.js'
 
-/** Where a router's knowledge stands. */
+/** Options for {@link createRouterState}. */
 export interface RouterStateOptions {
   readonly activeConfiguration: ConfigurationStore
   readonly targetList: TargetList
   readonly targets: TargetsFollower
-  /** Milliseconds since this router itself read configurations. */
+  /** Returns the milliseconds since this router itself polled configurations. */
   readonly configurationPollAgeMs: () => number
-  /** Puts a configuration in force if it is newer. */
+  /** Activates a configuration if it is newer. */
   readonly applyConfiguration: (
     configuration: RouterConfiguration,
     from: string,
   ) => void
 }
 
-/** Creates the view that peers have of a router's knowledge. */
+/** Creates the state that a router shares with its peers. */
 export function createRouterState(options: RouterStateOptions): RouterState {
-  const { activeConfiguration: keeper, targetList: view, targets } = options
+  const { activeConfiguration, targetList, targets } = options
   return {
-    configurationVersion: () => keeper.version,
+    configurationVersion: () => activeConfiguration.version,
     configurationPollAgeMs: options.configurationPollAgeMs,
-    targetsFingerprint: () => view.fingerprint(),
+    targetsFingerprint: () => targetList.fingerprint(),
     targetsPollAgeMs: () => targets.lastPollAgeMs(),
     targetsAgeMs: () => targets.ageMs(),
     configurationSince(version) {
-      const newest = keeper.current?.configuration
+      const newest = activeConfiguration.current?.configuration
       return newest && newest.version > version ? newest : undefined
     },
-    targets: () => [...view.all()],
-    targetIds: () => view.ids(),
+    targets: () => [...targetList.all()],
+    targetIds: () => targetList.ids(),
     applyConfiguration: options.applyConfiguration,
-    applyTargets(borrowed, ageMs) {
-      targets.applyPeerList(borrowed, ageMs)
+    applyTargets(peerTargets, ageMs) {
+      targets.applyPeerList(peerTargets, ageMs)
     },
     confirmTargets(ageMs) {
       targets.confirm(ageMs)
--- a/packages/router/src/node/peers/digestLoad.ts
+++ b/packages/router/src/node/peers/digestLoad.ts
@@ -2,76 +2,73 @@
 import type { TargetLoad, LoadByTarget } from '../routing/targetLoad.js'
 import type { PeerDigest } from './peerDigest.js'
 
-/** The part of a digest that names targets by their place in the list of ids. */
+/** The fields of a digest that identify targets by their index in the list of ids. */
 export type DigestLoad = Pick<PeerDigest, 'work' | 'placed'>
 
 /** Tokens in one unit of a digest. */
 const TOKEN_UNIT = 100
-/** Numbers that a digest has for each target with work. */
-const NUMBERS_A_TARGET = 3
+/** Numbers that a digest has for each target with load. */
+const NUMBERS_PER_TARGET = 3
 
-const placesByIds = new WeakMap<
-  readonly string[],
-  ReadonlyMap<string, number>
->()
+const indexCache = new WeakMap<readonly string[], ReadonlyMap<string, number>>()
 
-/** Returns the place of each id; a list that stays the same is indexed once. */
-function placesOf(ids: readonly string[]): ReadonlyMap<string, number> {
-  const known = placesByIds.get(ids)
-  if (known) return known
-  const places = new Map(ids.map((id, place) => [id, place]))
-  placesByIds.set(ids, places)
-  return places
+/** Returns the index of each id, cached by the identity of the list. */
+function indexOf(ids: readonly string[]): ReadonlyMap<string, number> {
+  const cached = indexCache.get(ids)
+  if (cached) return cached
+  const indexes = new Map(ids.map((id, index) => [id, index]))
+  indexCache.set(ids, indexes)
+  return indexes
 }
 
-/** Writes work and placements; those of targets that are not listed are left out. */
+/** Encodes load and cache locations; those of unlisted targets are left out. */
 export function encodeLoad(
   ids: readonly string[],
-  work: LoadByTarget,
-  placements: readonly CacheLocation[],
+  load: LoadByTarget,
+  locations: readonly CacheLocation[],
 ): DigestLoad {
-  const places = placesOf(ids)
-  const told: number[] = []
-  for (const [id, { requests, pendingPromptTokens: unreadTokens }] of work) {
-    const place = places.get(id)
-    if (place === undefined) continue
-    told.push(place, requests, Math.round(unreadTokens / TOKEN_UNIT))
+  const indexes = indexOf(ids)
+  const work: number[] = []
+  for (const [id, { requests, pendingPromptTokens }] of load) {
+    const index = indexes.get(id)
+    if (index === undefined) continue
+    work.push(index, requests, Math.round(pendingPromptTokens / TOKEN_UNIT))
   }
   const placed: [string, number][] = []
-  for (const [key, id] of placements) {
-    const place = places.get(id)
-    if (place !== undefined) placed.push([key, place])
+  for (const [key, id] of locations) {
+    const index = indexes.get(id)
+    if (index !== undefined) placed.push([key, index])
   }
-  return { work: told, placed }
+  return { work, placed }
 }
 
-/** Reads the work that a digest tells. */
+/** Decodes the load in a digest. */
 export function decodeLoad(
   ids: readonly string[],
-  { work: told }: DigestLoad,
+  { work }: DigestLoad,
 ): LoadByTarget {
-  const work = new Map<string, TargetLoad>()
-  for (let at = 0; at < told.length; at += NUMBERS_A_TARGET) {
-    const [place = -1, requests = 0, units = 0] = told.slice(
-      at,
-      at + NUMBERS_A_TARGET,
+  const load = new Map<string, TargetLoad>()
+  for (let offset = 0; offset < work.length; offset += NUMBERS_PER_TARGET) {
+    const [index = -1, requests = 0, units = 0] = work.slice(
+      offset,
+      offset + NUMBERS_PER_TARGET,
     )
-    const id = ids[place]
+    const id = ids[index]
     if (id === undefined) continue
-    work.set(id, { requests, pendingPromptTokens: units * TOKEN_UNIT })
+    load.set(id, { requests, pendingPromptTokens: units * TOKEN_UNIT })
   }
-  return work
+  return load
 }
 
-/** Reads the placements that a digest tells. */
+/** Decodes the cache locations in a digest. */
 export function decodeCacheLocations(
   ids: readonly string[],
   { placed }: DigestLoad,
 ): CacheLocation[] {
-  const placements: CacheLocation[] = []
-  for (const [key, place] of placed) {
-    const id = ids[place]
-    if (id !== undefined) placements.push([key, id])
+  const locations: CacheLocation[] = []
+  for (const [key, index] of placed) {
+    const id = ids[index]
+    if (id !== undefined) locations.push([key, id])
   }
-  return placements
+  return locations
 }
--- a/packages/router/src/node/peers/joinDirectory.ts
+++ b/packages/router/src/node/peers/joinDirectory.ts
@@ -7,7 +7,7 @@
 import type { RouterDirectory } from '../routerPorts.js'
 import type { PeerAddress } from './peerAddress.js'
 
-/** What joining works with. */
+/** Options for {@link joinDirectory}. */
 export interface JoinDirectoryOptions {
   readonly directory: RouterDirectory
   readonly router: string
@@ -19,34 +19,36 @@
   return one?.host === other.host && one.port === other.port
 }
 
-/** Keeps the calls of all routers within a few a second, however many they are. */
-function readAgainMs(routers: number): number {
+/** Returns the poll interval; it grows with the fleet to keep the polls of all routers at a few per second. */
+function pollIntervalMs(routers: number): number {
   return DIRECTORY_POLL_MS * Math.max(1, routers / DIGEST_FANOUT)
 }
 
-/** Enters a router in the list of routers, then reads the list now and then. */
+/** Registers a router in the router directory, then polls the directory. */
 export function joinDirectory(options: JoinDirectoryOptions): {
   leave(): void
 } {
   const { directory, router, address, onListed } = options
-  const leaving = new AbortController()
-  const { signal } = leaving
+  const abort = new AbortController()
+  const { signal } = abort
 
   function pause(ms: number): Promise<void> {
     return sleep(ms, undefined, { signal, ref: false }).catch(() => undefined)
   }
 
   async function run(): Promise<void> {
-    let isEntered = false
+    let isRegistered = false
     while (!signal.aborted) {
-      isEntered ||= await directory.register(router, address)
+      isRegistered ||= await directory.enter(router, address)
       const listed = await directory.list()
-      // The answer to the entry may have been lost.
-      isEntered ||= isSame(listed?.get(router), address)
+      // The response to the registration may have been lost.
+      isRegistered ||= isSame(listed?.get(router), address)
       for (const [name, peer] of listed ?? [])
         if (name !== router) onListed(name, peer)
       await pause(
-        isEntered && listed ? readAgainMs(listed.size) : DIRECTORY_RETRY_MS,
+        isRegistered && listed
+          ? pollIntervalMs(listed.size)
+          : DIRECTORY_RETRY_MS,
       )
     }
   }
@@ -54,7 +56,7 @@
   void run()
   return {
     leave() {
-      leaving.abort()
+      abort.abort()
     },
   }
 }
--- a/packages/router/src/node/peers/peerDigest.ts
+++ b/packages/router/src/node/peers/peerDigest.ts
@@ -3,41 +3,41 @@
 
 const digestSchema = v.object({
   router: v.string(),
-  /** Names one start of the router. */
+  /** Identifies one start of the router. */
   incarnation: v.string(),
-  /** Counts up with each digest. */
+  /** Increases with each digest. */
   sequence: v.number(),
   port: v.number(),
   configurationVersion: v.number(),
-  /** Milliseconds since the router itself read configurations; null before the first time. */
+  /** Milliseconds since the router itself polled configurations; null before the first poll. */
   configurationReadMs: v.nullable(v.number()),
-  /** Tells the router's list of targets apart from others. */
+  /** Hash of the router's target list, to compare it with others. */
   targetsFingerprint: v.number(),
-  /** Milliseconds since the router itself read the list of targets. */
+  /** Milliseconds since the router itself polled the target list; null before the first poll and after an invalidation. */
   targetsReadMs: v.nullable(v.number()),
-  /** Milliseconds up to which the router surely has all changes of the list. */
+  /** Upper bound on the staleness of the router's target list, in milliseconds; null if unknown. */
   targetsAgeMs: v.nullable(v.number()),
   stopping: v.boolean(),
-  /** For each target with work: its place in the list of ids, requests in flight, prompt tokens to read in hundreds. */
+  /** For each target with load: its index in the list of ids, requests in flight, pending prompt tokens in hundreds. */
   work: v.array(v.number()),
-  /** Prompts since the last digest and the places in the list of their targets. */
+  /** New cache locations: affinity keys and the indexes of their targets in the list of ids. */
   placed: v.array(v.pipe(v.tuple([v.string(), v.number()]), v.readonly())),
 })
 
-/** What a router tells its peers several times a second. */
+/** State that a router broadcasts to its peers several times per second. */
 export type PeerDigest = v.InferOutput<typeof digestSchema>
 
-/** Fields in the order in which a datagram has them; their names are not sent. */
+/** Fields in their order in a datagram, which has no field names. */
 const FIELDS = Object.keys(digestSchema.entries) as (keyof PeerDigest)[]
 
-/** Reads a datagram; undefined where it is no digest. */
+/** Decodes a datagram; undefined if it is not a valid digest. */
 export function decodeDigest(datagram: Uint8Array): PeerDigest | undefined {
   try {
     const values = decode(datagram)
     if (!Array.isArray(values)) return undefined
-    const fields = FIELDS.map((name, at): [string, unknown] => [
+    const fields = FIELDS.map((name, index): [string, unknown] => [
       name,
-      values[at],
+      values[index],
     ])
     const parsed = v.safeParse(digestSchema, Object.fromEntries(fields))
     return parsed.success ? parsed.output : undefined
@@ -46,7 +46,7 @@
   }
 }
 
-/** Writes a digest as a datagram. */
+/** Encodes a digest as a datagram. */
 export function encodeDigest(digest: PeerDigest): Uint8Array {
   return encode(FIELDS.map((name) => digest[name]))
 }
--- a/packages/router/src/node/peers/peerState.ts
+++ b/packages/router/src/node/peers/peerState.ts
@@ -5,7 +5,7 @@
 import type { CacheLocation } from '../routing/createCacheLocations.js'
 import type { Target } from '../targets/target.js'
 
-/** Bytes of a state once inflated; a router's whole memory is a few times as much. */
+/** Largest decompressed state, in bytes; a router's whole memory is a few times as much. */
 const MAX_STATE_BYTES = 16 * 1024 * 1024
 
 const routeSchema = v.object({
@@ -64,34 +64,34 @@
   placements: v.exactOptional(v.array(v.tuple([v.string(), v.string()]))),
 })
 
-/** What a router that asks for a peer's state has already. */
+/** State that a router has already when it fetches a peer's state. */
 export interface PeerStateQuery {
   readonly knownVersion: number
-  /** Fingerprint of the asker's list of targets, where it knows one. */
+  /** Fingerprint of the requester's target list, if it has one. */
   readonly targetsFingerprint?: number
-  /** Whether the asker needs to learn where prompts are cached. */
+  /** Whether the requester needs the cache locations. */
   readonly wantsPlacements: boolean
 }
 
-/** What a router lends to a peer; what the peer has already is left out. */
+/** State that a router serves to a peer, without the parts that the peer has already. */
 export interface PeerState {
   readonly configuration?: RouterConfiguration
   readonly targets?: readonly Target[]
-  /** Milliseconds up to which the lender surely has all changes of the list; null before the first time. */
+  /** Upper bound on the staleness of the server's target list, in milliseconds; null if unknown. */
   readonly targetsAgeMs: number | null
-  /** Where prompts are cached. */
+  /** Latest cache location of each prompt. */
   readonly placements?: readonly CacheLocation[]
 }
 
-/** Writes a state; many routers may fetch it at once over narrow links. */
+/** Encodes a state, compressed as many routers may fetch it at once over narrow links. */
 export function encodePeerState(state: PeerState): Buffer {
   return gzipSync(JSON.stringify(state), { level: constants.Z_BEST_SPEED })
 }
 
-/** Reads a peer's answer; undefined where it is none. */
-export function decodePeerState(answer: Buffer): PeerState | undefined {
+/** Decodes a peer's response; undefined if it is invalid. */
+export function decodePeerState(body: Buffer): PeerState | undefined {
   try {
-    const text = gunzipSync(answer, { maxOutputLength: MAX_STATE_BYTES })
+    const text = gunzipSync(body, { maxOutputLength: MAX_STATE_BYTES })
     const parsed = v.safeParse(stateSchema, JSON.parse(text.toString()))
     return parsed.success ? parsed.output : undefined
   } catch {
--- a/packages/router/src/node/peers/routerState.ts
+++ b/packages/router/src/node/peers/routerState.ts
@@ -1,23 +1,25 @@
 import type { RouterConfiguration } from '../configuration/routerConfiguration.js'
 import type { Target } from '../targets/target.js'
 
-/** What a router knows of configuration and targets, to be shared with peers. */
+/** Configuration and targets of a router, as it shares them with its peers. */
 export interface RouterState {
   configurationVersion(): number
-  /** Milliseconds since this router itself read configurations. */
+  /** Milliseconds since this router itself polled configurations. */
   configurationPollAgeMs(): number
   targetsFingerprint(): number
-  /** Milliseconds since this router itself read the list of targets. */
+  /** Milliseconds since this router itself polled the target list. */
   targetsPollAgeMs(): number
-  /** Milliseconds up to which this router surely has all changes of the list. */
+  /** Upper bound on the staleness of the target list, in milliseconds. */
   targetsAgeMs(): number
-  /** Returns the configuration in force if it is newer than `version`. */
+  /** Returns the active configuration if it is newer than `version`. */
   configurationSince(version: number): RouterConfiguration | undefined
   targets(): readonly Target[]
-  /** Ids of all targets in order; the same wherever the fingerprint is. */
+  /** Returns the sorted ids of all targets; routers with the same fingerprint have the same ids. */
   targetIds(): readonly string[]
+  /** Activates a configuration of the peer `from` if it is newer. */
   applyConfiguration(configuration: RouterConfiguration, from: string): void
+  /** Applies the target list that a peer had `ageMs` ago. */
   applyTargets(targets: readonly Target[], ageMs: number): void
-  /** Notes that a peer had the same list of targets `ageMs` ago. */
+  /** Records that a peer had the same target list `ageMs` ago. */
   confirmTargets(ageMs: number): void
 }
