--- a/packages/router/src/node/peers/createPeerStateServer.ts
+++ b/packages/router/src/node/peers/createPeerStateServer.ts
@@ -46,7 +46,7 @@
   close(): void
 }
 
-/** Starts listening for peers; rejects when the address is in use. */
+/** Starts listening for peers; rejects if the address is in use. */
 export async function createPeerStateServer(
   address: PeerAddress,
   stateFor: (query: PeerStateQuery) => PeerState,
--- a/packages/router/src/node/peers/createPeers.ts
+++ b/packages/router/src/node/peers/createPeers.ts
@@ -191,7 +191,7 @@
     }, constants.BROADCAST_DELAY_MS)
   }
 
-  const directory = joinDirectory({
+  const registration = joinDirectory({
     directory: options.directory,
     router,
     address,
@@ -214,7 +214,7 @@
     close() {
       clearTimeout(scheduled)
       clearInterval(broadcasts)
-      directory.leave()
+      registration.leave()
       socket.close()
       server.close()
     },
--- a/packages/router/src/node/peers/createPendingUpdates.ts
+++ b/packages/router/src/node/peers/createPendingUpdates.ts
@@ -2,7 +2,7 @@
 
 /** Cache locations that are sent until every peer has received them. */
 export interface PendingUpdates {
-  /** Returns the locations for the next digest, if every peer gets one of `rounds` digests. */
+  /** Returns the locations for the next digest; it takes `rounds` digests to reach every peer. */
   next(rounds: number): readonly CacheLocation[]
 }
 
--- a/packages/router/src/node/peers/joinDirectory.ts
+++ b/packages/router/src/node/peers/joinDirectory.ts
@@ -15,7 +15,10 @@
   readonly onListed: (router: string, address: PeerAddress) => void
 }
 
-function isSame(one: PeerAddress | undefined, other: PeerAddress): boolean {
+function isSameAddress(
+  one: PeerAddress | undefined,
+  other: PeerAddress,
+): boolean {
   return one?.host === other.host && one.port === other.port
 }
 
@@ -29,8 +32,8 @@
   leave(): void
 } {
   const { directory, router, address, onListed } = options
-  const abort = new AbortController()
-  const { signal } = abort
+  const controller = new AbortController()
+  const { signal } = controller
 
   function pause(ms: number): Promise<void> {
     return sleep(ms, undefined, { signal, ref: false }).catch(() => undefined)
@@ -42,7 +45,7 @@
       isRegistered ||= await directory.enter(router, address)
       const listed = await directory.list()
       // The response to the registration may have been lost.
-      isRegistered ||= isSame(listed?.get(router), address)
+      isRegistered ||= isSameAddress(listed?.get(router), address)
       for (const [name, peer] of listed ?? [])
         if (name !== router) onListed(name, peer)
       await pause(
@@ -56,7 +59,7 @@
   void run()
   return {
     leave() {
-      abort.abort()
+      controller.abort()
     },
   }
 }
--- a/packages/router/src/node/targets/createTargetList.ts
+++ b/packages/router/src/node/targets/createTargetList.ts
@@ -22,7 +22,7 @@
   fingerprint(): number
   set(target: Target): void
   remove(id: string, nowMs: number): void
-  /** Starts the time after an outage in which removed targets stay, as their entries may return. */
+  /** Starts the rejoin window after an outage, in which removed targets stay as their entries may return. */
   startRejoinWindow(nowMs: number): void
 }
 
@@ -61,7 +61,7 @@
     invalidateIndexes()
   }
 
-  function put(target: Target): void {
+  function set(target: Target): void {
     missing.delete(target.id)
     // Entries are rewritten periodically without a change.
     if (isDeepStrictEqual(targets.get(target.id), target)) return
@@ -97,7 +97,7 @@
       fingerprint ??= fingerprintOf(targets.values())
       return fingerprint
     },
-    set: put,
+    set,
     remove,
     startRejoinWindow(nowMs) {
       rejoinUntilMs = nowMs + rejoinMs
