--- a/packages/router/src/node/peers/joinDirectory.ts
+++ b/packages/router/src/node/peers/joinDirectory.ts
@@ -42,7 +42,7 @@
   async function run(): Promise<void> {
     let isRegistered = false
     while (!signal.aborted) {
-      isRegistered ||= await directory.enter(router, address)
+      isRegistered ||= await directory.register(router, address)
       const listed = await directory.list()
       // The response to the registration may have been lost.
       isRegistered ||= isSameAddress(listed?.get(router), address)
--- a/packages/router/src/node/targets/createTargetClient.ts
+++ b/packages/router/src/node/targets/createTargetClient.ts
@@ -124,7 +124,8 @@
     })
     if (result.isErr()) {
       // If one connection is half-open, the others to the target may be too.
-      if (result.error.error === ExchangeError.Silent) agent.condemn(address)
+      if (result.error.error === ExchangeError.TimedOut)
+        agent.retireConnections(address)
       return err(toTargetFailure(result.error))
     }
     const res = result.value
