--- a/packages/router/src/node/constants.ts
+++ b/packages/router/src/node/constants.ts
@@ -10,7 +10,7 @@
 export const PEER_TIMEOUT_MS = 2_000
 /** Interval of digests to a lost peer, in milliseconds. */
 export const PEER_PROBE_INTERVAL_MS = 1_000
-/** Milliseconds without a digest after which a peer is removed; a restart takes seconds. */
+/** Milliseconds without a digest or a directory listing after which a peer is removed; a restart takes seconds. */
 export const PEER_EXPIRY_MS = 60_000
 /** Milliseconds between two attempts to register in the router directory. */
 export const DIRECTORY_RETRY_MS = 500
--- a/packages/router/src/node/peers/createPeerTable.ts
+++ b/packages/router/src/node/peers/createPeerTable.ts
@@ -34,7 +34,7 @@
   readonly timeoutMs: number
   /** Interval of digests to a lost peer, so that it finds this router when it restarts. */
   readonly probeIntervalMs: number
-  /** Time without a digest after which a peer is removed. */
+  /** Time without a digest or a directory listing after which a peer is removed. */
   readonly expiryMs: number
 }
 
--- a/packages/router/src/node/peers/joinDirectory.ts
+++ b/packages/router/src/node/peers/joinDirectory.ts
@@ -15,11 +15,8 @@
   readonly onListed: (router: string, address: PeerAddress) => void
 }
 
-function isSameAddress(
-  one: PeerAddress | undefined,
-  other: PeerAddress,
-): boolean {
-  return one?.host === other.host && one.port === other.port
+function isSameAddress(a: PeerAddress | undefined, b: PeerAddress): boolean {
+  return a?.host === b.host && a.port === b.port
 }
 
 /** Returns the poll interval; it grows with the fleet to keep the polls of all routers at a few per second. */
