--- /dev/null
+++ b/packages/router/src/node/peers/createPeerStateFetcher.ts
@@ -0,0 +1,99 @@
+import { requestBytes } from '@auburnbay/http-utils/requestBytes'
+import type { DecisionLog } from '../logging/decisionLog.js'
+import { LogEvent } from '../logging/logEvent.js'
+import type { CacheLocation } from '../routing/createCacheLocations.js'
+import type { Peer } from './createPeerTable.js'
+import { statePath } from './createPeerStateServer.js'
+import { decodePeerState } from './peerState.js'
+import type { RouterState } from './routerState.js'
+
+/** Timeout of a fetch, in milliseconds. */
+const FETCH_TIMEOUT_MS = 800
+/** Milliseconds between two fetches. */
+const FETCH_PAUSE_MS = 100
+
+/** Options for {@link createPeerStateFetcher}. */
+export interface PeerStateFetcherOptions {
+  readonly routerState: RouterState
+  readonly onCacheLocations: (locations: readonly CacheLocation[]) => void
+  readonly log: DecisionLog
+  /** Monotonic clock, in milliseconds. */
+  readonly now: () => number
+}
+
+/** Fetches configuration and targets from peers that have newer ones. */
+export interface PeerStateFetcher {
+  /** Compares a peer's new digest with this router's state and fetches newer state. */
+  onDigest(peer: Peer): void
+}
+
+/** Returns the upper bound on the staleness of a peer's target list, in milliseconds. */
+function targetsAgeOf({ digest, receivedAtMs }: Peer, nowMs: number): number {
+  return (digest?.targetsAgeMs ?? Infinity) + nowMs - receivedAtMs
+}
+
+/** Creates a fetcher that fetches from one peer at a time. */
+export function createPeerStateFetcher(
+  options: PeerStateFetcherOptions,
+): PeerStateFetcher {
+  const { routerState, onCacheLocations, log, now } = options
+  let isFetching = false
+  let hasFetched = false
+
+  function hasNewer(peer: Peer): boolean {
+    const { digest } = peer
+    if (!digest) return false
+    // A router that has just started needs the cache locations.
+    if (!hasFetched) return true
+    if (digest.configurationVersion > routerState.configurationVersion())
+      return true
+    const ageMs = targetsAgeOf(peer, now())
+    if (ageMs >= routerState.targetsAgeMs()) return false
+    if (digest.targetsFingerprint !== routerState.targetsFingerprint())
+      return true
+    routerState.confirmTargets(ageMs)
+    return false
+  }
+
+  async function fetchState({ router, address }: Peer): Promise<void> {
+    const { host, port } = address
+    const path = statePath({
+      knownVersion: routerState.configurationVersion(),
+      ...(hasFetched && {
+        targetsFingerprint: routerState.targetsFingerprint(),
+      }),
+      wantsPlacements: !hasFetched,
+    })
+    const sentAtMs = now()
+    const reply = await requestBytes({
+      url: `http://${host}:${port}${path}`,
+      method: 'GET',
+      timeoutMs: FETCH_TIMEOUT_MS,
+    })
+    const state = reply.isOk() ? decodePeerState(reply.value.body) : undefined
+    if (!state) {
+      const reason = `no valid state within ${FETCH_TIMEOUT_MS} ms`
+      log.write(LogEvent.PeerFailed, { router, reason })
+      return
+    }
+    hasFetched = true
+    const { configuration, placements, targets, targetsAgeMs } = state
+    if (configuration) routerState.applyConfiguration(configuration, router)
+    if (placements) onCacheLocations(placements)
+    const ageMs = (targetsAgeMs ?? Infinity) + now() - sentAtMs
+    if (ageMs >= routerState.targetsAgeMs()) return
+    if (targets) routerState.applyTargets(targets, ageMs)
+  }
+
+  return {
+    onDigest(peer) {
+      if (isFetching || !hasNewer(peer)) return
+      isFetching = true
+      void fetchState(peer).finally(() => {
+        setTimeout(() => {
+          isFetching = false
+        }, FETCH_PAUSE_MS).unref()
+      })
+    },
+  }
+}
