--- a/packages/http-utils/src/node/createNodeFetch.ts
+++ b/packages/http-utils/src/node/createNodeFetch.ts
@@ -3,7 +3,7 @@
 import { readBody } from './readBody.js'
 import { requestUrl } from './requestUrl.js'
 
-const MAX_REPLY_BYTES = 16 * 1024 * 1024
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 /** The part of the fetch options that clients of ours set. */
 export interface NodeFetchInit {
@@ -57,7 +57,7 @@
       req.on('error', reject)
       req.on('response', (res) => {
         const { socket } = res
-        void readBody(res, MAX_REPLY_BYTES).then((body) => {
+        void readBody(res, MAX_RESPONSE_BYTES).then((body) => {
           countBytes(socket, seen, traffic)
           if (body.isErr()) {
             reject(new Error(`the answer was cut off (${body.error})`))
--- a/packages/http-utils/src/node/exchange.ts
+++ b/packages/http-utils/src/node/exchange.ts
@@ -7,7 +7,7 @@
 import type { Socket } from 'node:net'
 import { AttemptProgress } from '@auburnbay/core/verdict/attemptProgress'
 import { err, ok, type Result } from 'neverthrow'
-import { separateEnd } from './separateEnd.js'
+import { pauseBetweenReads } from './pauseBetweenReads.js'
 
 /** How long a target may take. */
 export interface ExchangeLimits {
@@ -121,7 +121,7 @@
     req.once('response', (res) => {
       clearTimeout(timer)
       answer = res
-      if (!hasLength(res)) separateEnd(res.socket)
+      if (!hasLength(res)) pauseBetweenReads(res.socket)
       // Errors reach whoever reads the body; there may be no reader yet.
       res.on('error', () => undefined)
       resolve(ok(res))
--- a/packages/http-utils/src/node/separateEnd.ts
+++ b/packages/http-utils/src/node/pauseBetweenReads.ts
@@ -15,7 +15,7 @@
  * a reset that comes along with data as the end of the stream, unless reading
  * was stopped in between; `socket.pause()` does not stop it.
  */
-export function separateEnd(socket: Socket): void {
+export function pauseBetweenReads(socket: Socket): void {
   const pauseReading = (): void => {
     handleOf(socket)?.readStop()
     setImmediate(() => {
--- a/packages/http-utils/src/node/requestBytes.ts
+++ b/packages/http-utils/src/node/requestBytes.ts
@@ -4,7 +4,7 @@
 import { requestUrl } from './requestUrl.js'
 
 /** A small call over HTTP. */
-export interface BytesCall {
+export interface RequestBytesOptions {
   readonly method: string
   readonly url: string
   readonly body?: Buffer
@@ -15,7 +15,7 @@
 }
 
 /** A whole answer. */
-export interface BytesReply {
+export interface BytesResponse {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly body: Buffer
@@ -26,14 +26,14 @@
   readonly message: string
 }
 
-const MAX_REPLY_BYTES = 64 * 1024 * 1024
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 /** A whole call takes this many time-outs at most, however steadily bytes come. */
 const MAX_TIMEOUTS = 5
 
 /** Sends a request and reads the whole answer. */
 export function requestBytes(
-  call: BytesCall,
-): Promise<Result<BytesReply, RequestError>> {
+  call: RequestBytesOptions,
+): Promise<Result<BytesResponse, RequestError>> {
   return new Promise((resolve) => {
     const givenUp = new AbortController()
     const giveUp = (): void => {
@@ -45,7 +45,7 @@
       idle = setTimeout(giveUp, call.timeoutMs)
     }
     const whole = setTimeout(giveUp, MAX_TIMEOUTS * call.timeoutMs)
-    const end = (result: Result<BytesReply, RequestError>): void => {
+    const end = (result: Result<BytesResponse, RequestError>): void => {
       clearTimeout(idle)
       clearTimeout(whole)
       resolve(result)
@@ -67,7 +67,7 @@
     })
     req.on('response', (res) => {
       heard()
-      void readBody(res, MAX_REPLY_BYTES).then((body) => {
+      void readBody(res, MAX_RESPONSE_BYTES).then((body) => {
         if (body.isErr()) {
           fail(`the answer was cut off (${body.error})`)
           return
--- a/packages/http-utils/src/node/requestJson.ts
+++ b/packages/http-utils/src/node/requestJson.ts
@@ -1,12 +1,12 @@
 import { err, ok, type Result } from 'neverthrow'
 import {
-  type BytesCall,
+  type RequestBytesOptions,
   type RequestError,
   requestBytes,
 } from './requestBytes.js'
 
 /** A small JSON call over HTTP. */
-export interface JsonCall extends Omit<BytesCall, 'body'> {
+export interface RequestJsonOptions extends Omit<RequestBytesOptions, 'body'> {
   readonly body?: unknown
 }
 
@@ -22,7 +22,7 @@
 
 /** Sends a JSON request and reads the JSON answer. */
 export async function requestJson(
-  call: JsonCall,
+  call: RequestJsonOptions,
 ): Promise<Result<JsonResponse, RequestError>> {
   const { body, headers, ...rest } = call
   const isEmpty = body === undefined
--- a/packages/router/src/node/callers/__tests__/createEventSplitter.test.ts
+++ b/packages/router/src/node/callers/__tests__/createEventSplitter.test.ts
@@ -32,7 +32,7 @@
             from = to
           }
           assert.equal(passed, whole)
-          assert.equal(splitter.isWhole, tail === 0)
+          assert.equal(splitter.atEventBoundary, tail === 0)
           const last = count > 0 ? String(count - 1) : undefined
           assert.equal(splitter.lastEventId, last)
         },
--- a/packages/router/src/node/callers/callProgress.ts
+++ b/packages/router/src/node/callers/callProgress.ts
@@ -3,7 +3,7 @@
 import { RequestKind } from '../configuration/requestKind.js'
 import { TargetFailureCause } from '../targets/targetFailure.js'
 import type { Call } from './call.js'
-import type { AnswerRelay } from './createAnswerRelay.js'
+import type { ResponseRelay } from './createResponseRelay.js'
 import { failures } from './failures.js'
 
 /** Least time that is worth a send, in milliseconds. */
@@ -11,27 +11,27 @@
 
 /** What the sends of one call have come to. */
 export interface CallProgress {
-  readonly relay: AnswerRelay
-  readonly tried: Set<string>
+  readonly relay: ResponseRelay
+  readonly triedTargets: Set<string>
   /** Sends that may have run. */
-  runs: number
+  possibleRuns: number
   sends: number
   verdict: Verdict
   lastCause?: TargetFailureCause
 }
 
 /** Returns the progress of a call that was not sent yet. */
-export function createCallProgress(relay: AnswerRelay): CallProgress {
+export function createCallProgress(relay: ResponseRelay): CallProgress {
   return {
     relay,
-    tried: new Set(),
-    runs: 0,
+    triedTargets: new Set(),
+    possibleRuns: 0,
     sends: 0,
     verdict: Verdict.NotRun,
   }
 }
 
-function isRepeatable({ route }: Call): boolean {
+function isRetryable({ route }: Call): boolean {
   return (
     route.kind === RequestKind.Idempotent ||
     (route.kind === RequestKind.Stream && route.resumable)
@@ -39,30 +39,33 @@
 }
 
 /** Returns whether another target may run the call, though one may have. */
-export function mayRunAgain(
+export function canRetry(
   call: Call,
-  { relay, runs }: CallProgress,
+  { relay, possibleRuns: runs }: CallProgress,
 ): boolean {
-  if (!relay.replaceable) return false
-  return isRepeatable(call) && runs < call.route.maxAttempts
+  if (!relay.canReplace) return false
+  return isRetryable(call) && runs < call.route.maxAttempts
 }
 
 /** Returns whether the call may be given to another target if the next one is silent. */
-export function maySendElsewhere(call: Call, { runs }: CallProgress): boolean {
-  return isRepeatable(call) && runs + 1 < call.route.maxAttempts
+export function canRetryAfterTimeout(
+  call: Call,
+  { possibleRuns: runs }: CallProgress,
+): boolean {
+  return isRetryable(call) && runs + 1 < call.route.maxAttempts
 }
 
 /** Returns what to tell the caller of a call that brought no answer. */
-export function failureOf(
+export function resolveFailure(
   call: Call,
   progress: CallProgress,
   nowMs: number,
 ): RequestFailure {
   if (progress.verdict === Verdict.NotRun) {
-    if (call.dueAtMs - nowMs < MIN_REMAINING_MS) return failures.expiredUnsent
+    if (call.dueAtMs - nowMs < MIN_REMAINING_MS) return failures.deadlinePassed
     return progress.sends === 0 ? failures.noTarget : failures.targetsRefused
   }
   const isLate =
     call.signal.aborted || progress.lastCause === TargetFailureCause.Silent
-  return isLate ? failures.overdue : failures.targetFailed
+  return isLate ? failures.targetTimeout : failures.targetFailed
 }
--- a/packages/router/src/node/callers/createCallerServer.ts
+++ b/packages/router/src/node/callers/createCallerServer.ts
@@ -10,7 +10,7 @@
 import { BodyError, readBody } from '@auburnbay/http-utils/readBody'
 import { err, ok, type Result } from 'neverthrow'
 import type {
-  ConfigurationInForce,
+  ActiveConfiguration,
   ConfigurationStore,
 } from '../configuration/createConfigurationStore.js'
 import type { Route } from '../configuration/route.js'
@@ -38,7 +38,7 @@
 /** What the listener for callers works with. */
 export interface CallerServerOptions {
   readonly address: ListenAddress
-  readonly keeper: ConfigurationStore
+  readonly configurationStore: ConfigurationStore
   readonly protocol: CallerProtocol
   readonly dispatcher: Dispatcher
   readonly log: DecisionLog
@@ -55,9 +55,9 @@
   /** Requests under way. */
   readonly inFlight: number
   /** From now on every answer ends its connection. */
-  closeAfterAnswers(): void
+  closeAfterResponses(): void
   /** From now on connections are refused, idle ones closed and requests refused as not run. */
-  refuseNew(): void
+  stopAccepting(): void
   /** Ends every connection. */
   close(): void
 }
@@ -84,7 +84,7 @@
 function admit(
   req: IncomingMessage,
   request: CallerRequest,
-  inForce: ConfigurationInForce,
+  inForce: ActiveConfiguration,
 ): Result<Admitted, RequestFailure> {
   const path = req.url ?? '/'
   const route = inForce.routes.find(request.host, pathOf(path))
@@ -92,8 +92,8 @@
   const customer =
     request.key === undefined
       ? undefined
-      : inForce.customerOfKey?.get(request.key)
-  const needsKey = inForce.customerOfKey !== undefined && !route.anonymous
+      : inForce.customersByKey?.get(request.key)
+  const needsKey = inForce.customersByKey !== undefined && !route.anonymous
   if (needsKey && !customer) return err(failures.wrongKey)
   return ok({
     request,
@@ -110,7 +110,14 @@
 export async function createCallerServer(
   options: CallerServerOptions,
 ): Promise<CallerServer> {
-  const { keeper, protocol, dispatcher, log, metrics, now } = options
+  const {
+    configurationStore: keeper,
+    protocol,
+    dispatcher,
+    log,
+    metrics,
+    now,
+  } = options
   let inFlight = 0
   let closing = false
   let refusing = false
@@ -154,7 +161,11 @@
     if (failure && !callerGone) sendFailure(res, failure)
     const status = failure?.status ?? res.statusCode
     const elapsedMs = now() - startedAtMs
-    metrics.answered(route.name, callerGone ? 0 : status, elapsedMs / 1_000)
+    metrics.recordRequest(
+      route.name,
+      callerGone ? 0 : status,
+      elapsedMs / 1_000,
+    )
     log.write(LogEvent.RequestEnded, {
       request: request.attemptId,
       route: route.name,
@@ -233,10 +244,10 @@
     get inFlight() {
       return inFlight
     },
-    closeAfterAnswers() {
+    closeAfterResponses() {
       closing = true
     },
-    refuseNew() {
+    stopAccepting() {
       refusing = true
       server.close()
       server.closeIdleConnections()
--- a/packages/router/src/node/callers/createDispatcher.ts
+++ b/packages/router/src/node/callers/createDispatcher.ts
@@ -27,13 +27,13 @@
 import {
   type CallProgress,
   createCallProgress,
-  failureOf,
-  mayRunAgain,
-  maySendElsewhere,
+  resolveFailure,
+  canRetry,
+  canRetryAfterTimeout,
   MIN_REMAINING_MS,
 } from './callProgress.js'
-import { createAnswerRelay } from './createAnswerRelay.js'
-import { RelayEnd } from './relayEnd.js'
+import { createResponseRelay } from './createResponseRelay.js'
+import { RelayOutcome } from './relayOutcome.js'
 
 /** Sends of one request that targets may refuse or that reach none. */
 const MAX_SENDS = 4
@@ -79,7 +79,7 @@
     sentAtMs: number,
   ): number {
     const remainingMs = call.dueAtMs - sentAtMs
-    if (!maySendElsewhere(call, progress)) return remainingMs
+    if (!canRetryAfterTimeout(call, progress)) return remainingMs
     const { name, targetLatencyMs } = call.route
     return Math.min(remainingMs, patience.timeoutMs(name, targetLatencyMs))
   }
@@ -97,7 +97,7 @@
     if (advice.discardsConnections) client.discardConnections(target)
     progress.verdict = combineVerdicts(progress.verdict, failure.verdict)
     progress.lastCause = failure.cause
-    if (failure.verdict !== Verdict.NotRun) progress.runs += 1
+    if (failure.verdict !== Verdict.NotRun) progress.possibleRuns += 1
     log.write(LogEvent.RequestSent, {
       request: call.request.attemptId,
       target: target.id,
@@ -108,7 +108,7 @@
     })
     if (failure.cause === TargetFailureCause.Aborted) return Next.Done
     if (failure.verdict === Verdict.NotRun) return Next.OtherTarget
-    return mayRunAgain(call, progress) ? Next.OtherTarget : Next.Done
+    return canRetry(call, progress) ? Next.OtherTarget : Next.Done
   }
 
   // A failure that the target reports itself is passed on where it may not run again.
@@ -117,9 +117,10 @@
     progress: CallProgress,
     { head }: TargetResponse,
   ): boolean {
-    if (head.status < SERVER_ERROR_FROM || progress.relay.begun) return false
-    if (!mayRunAgain(call, progress)) return false
-    return placer.select(call, progress.tried) !== undefined
+    if (head.status < SERVER_ERROR_FROM || progress.relay.headersSent)
+      return false
+    if (!canRetry(call, progress)) return false
+    return placer.select(call, progress.triedTargets) !== undefined
   }
 
   async function answered(
@@ -129,7 +130,7 @@
     answer: TargetResponse,
   ): Promise<Next> {
     const { status } = answer.head
-    progress.runs += 1
+    progress.possibleRuns += 1
     progress.verdict = Verdict.Ran
     const isError = status >= SERVER_ERROR_FROM
     const outcome = isError ? TargetOutcome.Failure : TargetOutcome.Success
@@ -139,15 +140,15 @@
       options.allowanceOf(call.service).tryAcquire(now())
     ) {
       answer.res.resume()
-      metrics.resent(call.service, `status-${status}`)
+      metrics.recordResend(call.service, `status-${status}`)
       return Next.OtherTargetPaid
     }
-    const end = progress.relay.fits(answer)
-      ? await progress.relay.relay(answer, () => {
+    const end = progress.relay.accepts(answer)
+      ? await progress.relay.forward(answer, () => {
           silence.recordActivity(target.id, now())
         })
-      : RelayEnd.Broken
-    if (end !== RelayEnd.Broken) return Next.Done
+      : RelayOutcome.Broken
+    if (end !== RelayOutcome.Broken) return Next.Done
     answer.res.destroy()
     health.record(target, TargetOutcome.Failure, now())
     progress.lastCause = TargetFailureCause.Broken
@@ -159,7 +160,7 @@
       reason: 'the answer broke off',
       lastEvent: progress.relay.lastEventId,
     })
-    return mayRunAgain(call, progress) ? Next.OtherTarget : Next.Done
+    return canRetry(call, progress) ? Next.OtherTarget : Next.Done
   }
 
   async function attempt(
@@ -167,7 +168,7 @@
     target: Target,
     progress: CallProgress,
   ): Promise<Next> {
-    progress.tried.add(target.id)
+    progress.triedTargets.add(target.id)
     progress.sends += 1
     const { customer, route, signal } = call
     const lastEventId = progress.relay.lastEventId
@@ -202,7 +203,7 @@
       }
       const headMs = now() - sentAtMs
       patience.recordHeaderTime(route.name, headMs)
-      metrics.headSeen(call.service, headMs / MS_PER_S)
+      metrics.recordResponseHead(call.service, headMs / MS_PER_S)
       silence.recordActivity(target.id, now())
       return await answered(call, target, progress, result.value)
     } finally {
@@ -215,31 +216,33 @@
     call: Call,
     res: ServerResponse,
   ): Promise<DispatchOutcome> {
-    const relay = createAnswerRelay(call, res, options.protocol)
+    const relay = createResponseRelay(call, res, options.protocol)
     const progress = createCallProgress(relay)
     const allowance = options.allowanceOf(call.service)
     allowance.recordRequest(now())
 
     function mayResend(): boolean {
       if (!allowance.tryAcquire(now())) return false
-      metrics.resent(call.service, progress.lastCause ?? 'unknown')
+      metrics.recordResend(call.service, progress.lastCause ?? 'unknown')
       return true
     }
 
     while (progress.sends < MAX_SENDS && !call.signal.aborted) {
       if (call.dueAtMs - now() < MIN_REMAINING_MS) break
-      const target = placer.select(call, progress.tried)
+      const target = placer.select(call, progress.triedTargets)
       if (!target) break
       const next = await attempt(call, target, progress)
       if (next === Next.Done) break
       if (next === Next.OtherTarget && !mayResend()) break
     }
     const { sends } = progress
-    const target = [...progress.tried].at(-1)
+    const target = [...progress.triedTargets].at(-1)
     return {
       sends,
       ...(target !== undefined && { target }),
-      ...(!res.writableEnded && { failure: failureOf(call, progress, now()) }),
+      ...(!res.writableEnded && {
+        failure: resolveFailure(call, progress, now()),
+      }),
     }
   }
 
--- a/packages/router/src/node/callers/createEventSplitter.ts
+++ b/packages/router/src/node/callers/createEventSplitter.ts
@@ -7,7 +7,7 @@
   /** Id of the last whole event. */
   readonly lastEventId: string | undefined
   /** Whether nothing of a further event has come. */
-  readonly isWhole: boolean
+  readonly atEventBoundary: boolean
 }
 
 const EVENT_END = Buffer.from('\n\n')
@@ -45,7 +45,7 @@
     get lastEventId() {
       return lastEventId
     },
-    get isWhole() {
+    get atEventBoundary() {
       return rest === undefined
     },
   }
--- a/packages/router/src/node/callers/createAnswerRelay.ts
+++ b/packages/router/src/node/callers/createResponseRelay.ts
@@ -3,8 +3,8 @@
 import type { TargetProtocol } from '../targets/targetProtocol.js'
 import type { Call } from './call.js'
 import { createEventSplitter } from './createEventSplitter.js'
-import { pumpBody } from './pumpBody.js'
-import { RelayEnd } from './relayEnd.js'
+import { relayBody } from './relayBody.js'
+import { RelayOutcome } from './relayOutcome.js'
 import { RequestKind } from '../configuration/requestKind.js'
 
 /** Bytes of a body that are held back, so that a broken answer can be replaced. */
@@ -14,25 +14,25 @@
 const RESUMED_STATUS = 200
 
 /** Passes one call's answers on to its caller. */
-export interface AnswerRelay {
+export interface ResponseRelay {
   /** Whether the caller has the head of an answer. */
-  readonly begun: boolean
+  readonly headersSent: boolean
   /** Whether another target's answer may still take the place of a broken one. */
-  readonly replaceable: boolean
+  readonly canReplace: boolean
   /** Whether an answer may follow what the caller has. */
-  fits(answer: TargetResponse): boolean
+  accepts(answer: TargetResponse): boolean
   /** Last event that the caller has. */
   readonly lastEventId: string | undefined
   /** Passes an answer on; what follows a broken stream goes on after it. */
-  relay(answer: TargetResponse, onPiece: () => void): Promise<RelayEnd>
+  forward(answer: TargetResponse, onPiece: () => void): Promise<RelayOutcome>
 }
 
 /** Creates the relay of one call. */
-export function createAnswerRelay(
+export function createResponseRelay(
   call: Call,
   res: ServerResponse,
   protocol: TargetProtocol,
-): AnswerRelay {
+): ResponseRelay {
   const { route, signal } = call
   const isStream = route.kind === RequestKind.Stream
   const splitter = createEventSplitter()
@@ -47,10 +47,10 @@
   async function relayPlain(
     answer: TargetResponse,
     onPiece: () => void,
-  ): Promise<RelayEnd> {
+  ): Promise<RelayOutcome> {
     let held: Buffer[] = []
     let heldBytes = 0
-    const end = await pumpBody(answer.res, res, signal, (piece) => {
+    const end = await relayBody(answer.res, res, signal, (piece) => {
       onPiece()
       if (begun) return piece
       held.push(piece)
@@ -61,45 +61,45 @@
       held = []
       return start
     })
-    if (end !== RelayEnd.Complete) return end
+    if (end !== RelayOutcome.Complete) return end
     if (!begun) begin(answer)
     res.end(Buffer.concat(held))
-    return RelayEnd.Complete
+    return RelayOutcome.Complete
   }
 
   async function relayStream(
     answer: TargetResponse,
     onPiece: () => void,
-  ): Promise<RelayEnd> {
+  ): Promise<RelayOutcome> {
     if (!begun) {
       begin(answer)
       res.flushHeaders()
     }
     splitter.reset()
-    const end = await pumpBody(answer.res, res, signal, (piece) => {
+    const end = await relayBody(answer.res, res, signal, (piece) => {
       onPiece()
       const whole = splitter.push(piece)
       return route.resumable ? whole : piece
     })
-    if (end !== RelayEnd.Complete) return end
+    if (end !== RelayOutcome.Complete) return end
     // Without a length, a body that broke off looks like one that ended.
-    if (!splitter.isWhole) return RelayEnd.Broken
+    if (!splitter.atEventBoundary) return RelayOutcome.Broken
     res.end()
-    return RelayEnd.Complete
+    return RelayOutcome.Complete
   }
 
   return {
-    get begun() {
+    get headersSent() {
       return begun
     },
     get lastEventId() {
       return splitter.lastEventId
     },
-    get replaceable() {
+    get canReplace() {
       return !begun || (isStream && route.resumable)
     },
-    fits: ({ head }) => !begun || head.status === RESUMED_STATUS,
-    relay: (answer, onPiece) =>
+    accepts: ({ head }) => !begun || head.status === RESUMED_STATUS,
+    forward: (answer, onPiece) =>
       isStream && isSuccess(answer)
         ? relayStream(answer, onPiece)
         : relayPlain(answer, onPiece),
--- a/packages/router/src/node/callers/failures.ts
+++ b/packages/router/src/node/callers/failures.ts
@@ -66,7 +66,7 @@
     'the targets that were asked refused; try again later',
     OTHER_TARGET_S,
   ),
-  expiredUnsent: notRun(
+  deadlinePassed: notRun(
     FailureCode.DeadlinePassed,
     503,
     'the time for an answer was over before a target was asked',
@@ -77,7 +77,7 @@
     status: 502,
     message: 'the target gave no whole answer; the request may have run',
   },
-  overdue: {
+  targetTimeout: {
     verdict: Verdict.MayHaveRun,
     code: FailureCode.TargetTimeout,
     status: 504,
--- a/packages/router/src/node/callers/pumpBody.ts
+++ b/packages/router/src/node/callers/relayBody.ts
@@ -1,22 +1,22 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import { RelayEnd } from './relayEnd.js'
+import { RelayOutcome } from './relayOutcome.js'
 
 /** Passes on what `transform` makes of each piece of a target's body. */
-export function pumpBody(
+export function relayBody(
   from: IncomingMessage,
   to: ServerResponse,
   signal: AbortSignal,
   transform: (piece: Buffer) => Buffer | undefined,
-): Promise<RelayEnd> {
+): Promise<RelayOutcome> {
   return new Promise((resolve) => {
-    function finish(end: RelayEnd): void {
+    function finish(end: RelayOutcome): void {
       signal.removeEventListener('abort', onAbort)
       to.off('drain', onDrain)
-      if (end !== RelayEnd.Complete) from.destroy()
+      if (end !== RelayOutcome.Complete) from.destroy()
       resolve(end)
     }
     function onAbort(): void {
-      finish(RelayEnd.Aborted)
+      finish(RelayOutcome.Aborted)
     }
     function onDrain(): void {
       from.resume()
@@ -26,20 +26,20 @@
       if (out && !to.write(out)) from.pause()
     }
     if (signal.aborted) {
-      finish(RelayEnd.Aborted)
+      finish(RelayOutcome.Aborted)
       return
     }
     signal.addEventListener('abort', onAbort)
     to.on('drain', onDrain)
     from.on('data', onData)
     from.on('end', () => {
-      finish(from.complete ? RelayEnd.Complete : RelayEnd.Broken)
+      finish(from.complete ? RelayOutcome.Complete : RelayOutcome.Broken)
     })
     from.on('error', () => {
-      finish(RelayEnd.Broken)
+      finish(RelayOutcome.Broken)
     })
     from.on('close', () => {
-      if (!from.complete) finish(RelayEnd.Broken)
+      if (!from.complete) finish(RelayOutcome.Broken)
     })
   })
 }
--- a/packages/router/src/node/callers/relayEnd.ts
+++ b/packages/router/src/node/callers/relayOutcome.ts
@@ -1,5 +1,5 @@
 /** How the passing on of an answer's body ended. */
-export enum RelayEnd {
+export enum RelayOutcome {
   /** The caller has the whole body. */
   Complete = 'complete',
   /** The target's answer broke off. */
--- a/packages/router/src/node/configuration/__tests__/createConfigurationStore.test.ts
+++ b/packages/router/src/node/configuration/__tests__/createConfigurationStore.test.ts
@@ -24,7 +24,7 @@
     const keeper = createConfigurationStore()
     const customers = [{ name: 'c', keys: ['k1', 'k2'] }]
     const nameOf = (key: string) =>
-      keeper.current?.customerOfKey?.get(key)?.name
+      keeper.current?.customersByKey?.get(key)?.name
     keeper.applyIfNewer(testConfiguration(1, { customers }))
     assert.equal(nameOf('k2'), 'c')
     const fewer = [{ name: 'c', keys: ['k1'] }]
--- a/packages/router/src/node/configuration/createConfigurationStore.ts
+++ b/packages/router/src/node/configuration/createConfigurationStore.ts
@@ -4,17 +4,17 @@
 import type { Service } from './service.js'
 
 /** A configuration with its indexes. */
-export interface ConfigurationInForce {
+export interface ActiveConfiguration {
   readonly configuration: RouterConfiguration
   readonly routes: RouteTable
   readonly services: ReadonlyMap<string, Service>
   /** Undefined where requests need no key. */
-  readonly customerOfKey?: ReadonlyMap<string, Customer>
+  readonly customersByKey?: ReadonlyMap<string, Customer>
 }
 
 /** Keeps the highest version that was offered. */
 export interface ConfigurationStore {
-  readonly current: ConfigurationInForce | undefined
+  readonly current: ActiveConfiguration | undefined
   /** 0 before the first. */
   readonly version: number
   /** Puts a configuration in force if it is newer; returns whether it was. */
@@ -32,7 +32,7 @@
 
 /** Creates a keeper that knows no configuration. */
 export function createConfigurationStore(): ConfigurationStore {
-  let current: ConfigurationInForce | undefined
+  let current: ActiveConfiguration | undefined
 
   const version = (): number => current?.configuration.version ?? 0
 
@@ -50,7 +50,7 @@
         configuration,
         routes: createRouteTable(routes),
         services: new Map(services.map((service) => [service.name, service])),
-        ...(customers && { customerOfKey: indexCustomers(customers) }),
+        ...(customers && { customersByKey: indexCustomers(customers) }),
       }
       return true
     },
--- a/packages/router/src/node/configuration/followConfigurations.ts
+++ b/packages/router/src/node/configuration/followConfigurations.ts
@@ -11,9 +11,12 @@
 export interface FollowConfigurationsOptions {
   readonly source: KeyedSource<RouterConfiguration>
   /** Whether a peer reads configurations for this router. */
-  readonly isCovered: () => boolean
+  readonly hasFreshReader: () => boolean
   /** Puts a configuration in force if it is newer. */
-  readonly offer: (configuration: RouterConfiguration, from: string) => void
+  readonly applyIfNewer: (
+    configuration: RouterConfiguration,
+    from: string,
+  ) => void
   /** Steady clock, in milliseconds. */
   readonly now: () => number
   readonly log: DecisionLog
@@ -23,7 +26,13 @@
 export function followConfigurations(
   options: FollowConfigurationsOptions,
 ): SourceFollower {
-  const { source, isCovered, offer, now, log } = options
+  const {
+    source,
+    hasFreshReader: hasFreshReader: isCovered,
+    applyIfNewer: offer,
+    now,
+    log,
+  } = options
   const lines = createSourceLogger(log, 'configurations')
   return createSourceFollower({
     source,
--- a/packages/router/src/node/configuration/route.ts
+++ b/packages/router/src/node/configuration/route.ts
@@ -1,5 +1,5 @@
 import type { RequestKind } from './requestKind.js'
-import type { ServiceShare } from './serviceShare.js'
+import type { WeightedService } from './weightedService.js'
 
 /** Where requests to a host and path go, and under which limits. */
 export interface Route {
@@ -8,7 +8,7 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string
   readonly kind: RequestKind
-  readonly services: readonly ServiceShare[]
+  readonly services: readonly WeightedService[]
   /** Milliseconds after which a request gets its final answer. */
   readonly timeoutMs: number
   /** Milliseconds within which an answer, or a stream's first event, is due. */
--- a/packages/router/src/node/configuration/serviceShare.ts
+++ b/packages/router/src/node/configuration/weightedService.ts
@@ -1,5 +1,5 @@
 /** A service's part of the requests on a route. */
-export interface ServiceShare {
+export interface WeightedService {
   readonly service: string
   /** Weight against the route's other shares. */
   readonly weight: number
--- a/packages/router/src/node/createRouter.ts
+++ b/packages/router/src/node/createRouter.ts
@@ -83,8 +83,8 @@
 
   const configurations = followConfigurations({
     source: ports.configurations,
-    isCovered: () => peers.current?.hasFreshConfigurationReader() ?? false,
-    offer,
+    hasFreshReader: () => peers.current?.hasFreshConfigurationReader() ?? false,
+    applyIfNewer: offer,
     now,
     log,
   })
@@ -148,7 +148,7 @@
   })
   const callers = await createCallerServer({
     address: settings.listen.callers,
-    keeper,
+    configurationStore: keeper,
     protocol: ports.callerProtocol,
     dispatcher: createDispatcher({
       load,
@@ -204,12 +204,12 @@
     stopping = true
     const startedAtMs = now()
     log.write(LogEvent.Stopping, { inFlight: callers.inFlight })
-    callers.closeAfterAnswers()
+    callers.closeAfterResponses()
     peers.current?.broadcast()
     const gracePeriodMs = settings.bounds.gracePeriodS * 1_000
     const lastMs = startedAtMs + gracePeriodMs - constants.STOP_MARGIN_MS
     await sleep(Math.min(constants.LOAD_BALANCER_DELAY_MS, gracePeriodMs / 2))
-    callers.refuseNew()
+    callers.stopAccepting()
     await waitForAnswers(lastMs)
     log.write(LogEvent.Stopped, { brokenOff: callers.inFlight })
     callers.close()
--- a/packages/router/src/node/metrics/createRouterMetrics.ts
+++ b/packages/router/src/node/metrics/createRouterMetrics.ts
@@ -35,14 +35,14 @@
     registers,
   })
   return {
-    answered(route, status, seconds) {
+    recordRequest(route, status, seconds) {
       requests.inc({ route, status })
       durations.observe({ route }, seconds)
     },
-    headSeen(service, seconds) {
+    recordResponseHead(service, seconds) {
       heads.observe({ service }, seconds)
     },
-    resent(service, cause) {
+    recordResend(service, cause) {
       resends.inc({ service, cause })
     },
     render: () => registry.metrics(),
--- a/packages/router/src/node/metrics/routerMetrics.ts
+++ b/packages/router/src/node/metrics/routerMetrics.ts
@@ -1,11 +1,11 @@
 /** Counts and times what a router does. */
 export interface RouterMetrics {
   /** A request was answered; `status` is 0 where it was broken off. */
-  answered(route: string, status: number, seconds: number): void
+  recordRequest(route: string, status: number, seconds: number): void
   /** The head of a target's answer came. */
-  headSeen(service: string, seconds: number): void
+  recordResponseHead(service: string, seconds: number): void
   /** A request was sent to a second target. */
-  resent(service: string, cause: string): void
+  recordResend(service: string, cause: string): void
   /** Returns all figures as text. */
   render(): Promise<string>
 }
