--- a/packages/router/src/node/__tests__/createPauseDetector.test.ts
+++ b/packages/router/src/node/__tests__/createPauseDetector.test.ts
@@ -3,7 +3,7 @@
 import { createPauseDetector } from '../createPauseDetector.js'
 
 describe('createPauseDetector', () => {
-  function createClocks() {
+  function createDetector() {
     let nowMs = 0
     let epochMs = 1e12
     const detector = createPauseDetector({
@@ -11,26 +11,26 @@
       now: () => nowMs,
       epochNow: () => epochMs,
     })
-    return (steadyMs: number, dayMs: number): boolean => {
-      nowMs += steadyMs
-      epochMs += dayMs
+    return (monotonicMs: number, wallMs: number): boolean => {
+      nowMs += monotonicMs
+      epochMs += wallMs
       return detector.check()
     }
   }
 
-  it('takes regular checks for no pause', () => {
-    const advance = createClocks()
+  it('reports no pause for regular checks', () => {
+    const advance = createDetector()
     for (let i = 0; i < 10; i += 1) assert.equal(advance(200, 201), false)
   })
 
-  it('notices a freeze, a suspension and a step of the time of day, once each', () => {
-    const advance = createClocks()
-    for (const [steadyMs, dayMs] of [
+  it('reports a freeze, a suspension and a wall clock step once each', () => {
+    const advance = createDetector()
+    for (const [monotonicMs, wallMs] of [
       [4_000, 4_000],
       [200, 4_200],
       [200, -2_000],
     ] as const) {
-      assert.equal(advance(steadyMs, dayMs), true)
+      assert.equal(advance(monotonicMs, wallMs), true)
       assert.equal(advance(200, 200), false)
     }
   })
--- a/packages/router/src/node/configuration/__tests__/createRouteTable.test.ts
+++ b/packages/router/src/node/configuration/__tests__/createRouteTable.test.ts
@@ -5,7 +5,7 @@
 import type { Route } from '../route.js'
 import { testRoute } from './testConfiguration.js'
 
-function findNaively(
+function findByScan(
   routes: readonly Route[],
   host: string,
   path: string,
@@ -24,7 +24,7 @@
   .map((segments) => `/${segments.join('/')}`)
 
 describe('createRouteTable', () => {
-  it('finds the longest prefix, as a look at every route does', () => {
+  it('finds the longest matching prefix, like a scan of all routes', () => {
     fc.assert(
       fc.property(
         fc.uniqueArray(fc.tuple(fc.constantFrom('x', 'y'), path), {
@@ -32,7 +32,7 @@
           selector: ([host, prefix]) => `${host} ${prefix}`,
         }),
         path,
-        (prefixes, asked) => {
+        (prefixes, requestPath) => {
           const routes = prefixes.map(([host, prefix]) =>
             testRoute({
               host,
@@ -48,15 +48,18 @@
               ]),
             ).values(),
           ]
-          const expected = findNaively(distinct, 'x', asked)
-          assert.equal(createRouteTable(distinct).find('x', asked), expected)
+          const expected = findByScan(distinct, 'x', requestPath)
+          assert.equal(
+            createRouteTable(distinct).find('x', requestPath),
+            expected,
+          )
         },
       ),
       { seed: 7, numRuns: 1_000 },
     )
   })
 
-  it('does not take a path without its slash for the prefix', () => {
+  it('does not match a path that lacks the trailing slash of the prefix', () => {
     const table = createRouteTable([testRoute({ pathPrefix: '/a/' })])
     assert.equal(table.find('a.example', '/a'), undefined)
   })
--- a/packages/router/src/node/configuration/__tests__/testConfiguration.ts
+++ b/packages/router/src/node/configuration/__tests__/testConfiguration.ts
@@ -2,7 +2,7 @@
 import type { Route } from '../route.js'
 import type { RouterConfiguration } from '../routerConfiguration.js'
 
-/** Returns a route with the given fields. */
+/** Creates a route with defaults for the missing fields. */
 export function testRoute(fields: Partial<Route> = {}): Route {
   return {
     name: 'route',
@@ -21,7 +21,7 @@
   }
 }
 
-/** Returns a configuration of one version. */
+/** Creates a configuration with defaults for the missing fields. */
 export function testConfiguration(
   version: number,
   fields: Partial<RouterConfiguration> = {},
--- a/packages/router/src/node/configuration/callerLimits.ts
+++ b/packages/router/src/node/configuration/callerLimits.ts
@@ -1,7 +1,7 @@
-/** Bounds on what a caller may send. */
+/** Limits on requests and connections of callers. */
 export interface CallerLimits {
   readonly maxBodyBytes: number
   readonly headerTimeoutMs: number
-  /** Milliseconds that a connection may stay without a request. */
+  /** Time that a connection may stay idle, in milliseconds. */
   readonly idleTimeoutMs: number
 }
--- a/packages/router/src/node/configuration/createConfigurationStore.ts
+++ b/packages/router/src/node/configuration/createConfigurationStore.ts
@@ -3,21 +3,21 @@
 import type { RouterConfiguration } from './routerConfiguration.js'
 import type { Service } from './service.js'
 
-/** A configuration with its indexes. */
+/** A configuration and its lookup tables. */
 export interface ActiveConfiguration {
   readonly configuration: RouterConfiguration
   readonly routes: RouteTable
   readonly services: ReadonlyMap<string, Service>
-  /** Undefined where requests need no key. */
+  /** Undefined if requests need no key. */
   readonly customersByKey?: ReadonlyMap<string, Customer>
 }
 
-/** Keeps the highest version that was offered. */
+/** Holds the configuration with the highest version so far. */
 export interface ConfigurationStore {
   readonly current: ActiveConfiguration | undefined
-  /** 0 before the first. */
+  /** Version of the active configuration; 0 without one. */
   readonly version: number
-  /** Puts a configuration in force if it is newer; returns whether it was. */
+  /** Activates a configuration if it is newer; returns whether it did. */
   applyIfNewer(configuration: RouterConfiguration): boolean
 }
 
@@ -30,7 +30,7 @@
   return byKey
 }
 
-/** Creates a keeper that knows no configuration. */
+/** Creates a store without a configuration. */
 export function createConfigurationStore(): ConfigurationStore {
   let current: ActiveConfiguration | undefined
 
--- a/packages/router/src/node/configuration/createRouteTable.ts
+++ b/packages/router/src/node/configuration/createRouteTable.ts
@@ -1,8 +1,8 @@
 import type { Route } from './route.js'
 
-/** Finds the route of a request. */
+/** Looks up routes by host and path. */
 export interface RouteTable {
-  /** Returns the route of `host` with the longest prefix that begins `path`. */
+  /** Returns the route of `host` with the longest prefix of `path`. */
   find(host: string, path: string): Route | undefined
 }
 
@@ -18,7 +18,7 @@
     find(host, path) {
       const prefixes = byHost.get(host)
       if (!prefixes) return undefined
-      // Every prefix ends with a slash, so only these cuts can match.
+      // Every prefix ends with a slash, so only these substrings can match.
       let end = path.lastIndexOf('/')
       while (end >= 0) {
         const route = prefixes.get(path.slice(0, end + 1))
--- a/packages/router/src/node/configuration/customer.ts
+++ b/packages/router/src/node/configuration/customer.ts
@@ -1,7 +1,7 @@
-/** Who sends requests, known by any of several keys. */
+/** A customer, authenticated by any of its keys. */
 export interface Customer {
   readonly name: string
   readonly keys: readonly string[]
-  /** Takes precedence over a route's priority. */
+  /** Overrides the priority of the route. */
   readonly priority?: number
 }
--- a/packages/router/src/node/configuration/followConfigurations.ts
+++ b/packages/router/src/node/configuration/followConfigurations.ts
@@ -7,22 +7,22 @@
 import type { KeyedSource } from '../sources/keyedSource.js'
 import type { RouterConfiguration } from './routerConfiguration.js'
 
-/** What the follower of configurations works with. */
+/** Options for {@link followConfigurations}. */
 export interface FollowConfigurationsOptions {
   readonly source: KeyedSource<RouterConfiguration>
-  /** Whether a peer reads configurations for this router. */
+  /** Whether a peer has polled the source recently enough for this router. */
   readonly hasFreshReader: () => boolean
-  /** Puts a configuration in force if it is newer. */
+  /** Activates a configuration if it is newer; `from` names where it came from. */
   readonly applyIfNewer: (
     configuration: RouterConfiguration,
     from: string,
   ) => void
-  /** Steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number
   readonly log: DecisionLog
 }
 
-/** Starts to follow the operator's configurations. */
+/** Starts polling the source for configurations of the operator. */
 export function followConfigurations(
   options: FollowConfigurationsOptions,
 ): SourceFollower {
@@ -36,7 +36,7 @@
   const lines = createSourceLogger(log, 'configurations')
   return createSourceFollower({
     source,
-    // A reading waits at the source until there is something new.
+    // A poll waits at the source until there is a change.
     pollIntervalMs: 0,
     now,
     hasFreshReader: isCovered,
--- a/packages/router/src/node/configuration/requestKind.ts
+++ b/packages/router/src/node/configuration/requestKind.ts
@@ -1,9 +1,9 @@
-/** What may be repeated of a request. */
+/** Whether a request may be sent again after it may have run. */
 export enum RequestKind {
   /** May run more than once. */
   Idempotent = 'idempotent',
   /** Runs at most once. */
   NonIdempotent = 'non-idempotent',
-  /** Answers with events; runs at most once unless it can be resumed. */
+  /** Responds with an event stream; runs at most once unless it is resumable. */
   Stream = 'stream',
 }
--- a/packages/router/src/node/configuration/route.ts
+++ b/packages/router/src/node/configuration/route.ts
@@ -1,7 +1,7 @@
 import type { RequestKind } from './requestKind.js'
 import type { WeightedService } from './weightedService.js'
 
-/** Where requests to a host and path go, and under which limits. */
+/** Services and limits for requests to a host and path prefix. */
 export interface Route {
   readonly name: string
   readonly host: string
@@ -9,18 +9,18 @@
   readonly pathPrefix: string
   readonly kind: RequestKind
   readonly services: readonly WeightedService[]
-  /** Milliseconds after which a request gets its final answer. */
+  /** Time until the final response is due, in milliseconds. */
   readonly timeoutMs: number
-  /** Milliseconds within which an answer, or a stream's first event, is due. */
+  /** Time until a response, or the first event of a stream, is due, in milliseconds. */
   readonly targetLatencyMs: number
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   readonly priority: number
-  /** Targets that may run one request. */
+  /** Maximum number of targets that may run one request. */
   readonly maxAttempts: number
   /** Whether requests need no key. */
   readonly anonymous: boolean
-  /** Whether requests name the parts of a prompt that targets cache. */
+  /** Whether requests list the prompt parts that targets cache. */
   readonly cachesPrompts: boolean
-  /** Whether a broken stream may go on at another target. */
+  /** Whether another target may resume an interrupted stream. */
   readonly resumable: boolean
 }
--- a/packages/router/src/node/configuration/service.ts
+++ b/packages/router/src/node/configuration/service.ts
@@ -1,6 +1,6 @@
-/** A group of targets that answer the same requests. */
+/** A group of targets that serve the same requests. */
 export interface Service {
   readonly name: string
-  /** Whether its targets fetch cached prompts from each other. */
+  /** Whether targets can fetch cached prompts from each other. */
   readonly sharesCache: boolean
 }
--- a/packages/router/src/node/configuration/weightedService.ts
+++ b/packages/router/src/node/configuration/weightedService.ts
@@ -1,6 +1,6 @@
-/** A service's part of the requests on a route. */
+/** A service of a route and its weight in the traffic split. */
 export interface WeightedService {
   readonly service: string
-  /** Weight against the route's other shares. */
+  /** Relative to the weights of the other services of the route. */
   readonly weight: number
 }
--- a/packages/router/src/node/createPauseDetector.ts
+++ b/packages/router/src/node/createPauseDetector.ts
@@ -1,20 +1,20 @@
-/** Notices that the process stood still, also where the steady clock did. */
+/** Detects pauses of the process, including those that stop the monotonic clock. */
 export interface PauseDetector {
-  /** Returns whether there was a pause since the last call; call it regularly. */
+  /** Returns whether the process paused since the last call; call it periodically. */
   check(): boolean
 }
 
-/** What a detector works with. */
+/** Options for {@link createPauseDetector}. */
 export interface PauseDetectorOptions {
-  /** Time between two checks and delay of one, in milliseconds, that are no pause. */
+  /** Longest time between two checks, timer delay included, that is no pause, in milliseconds. */
   readonly maxGapMs: number
-  /** Steady clock, which may not count a suspension, in milliseconds. */
+  /** Monotonic clock, which may stop during a suspension, in milliseconds. */
   readonly now: () => number
-  /** Time of day, in milliseconds; a step of it counts as a pause. */
+  /** Wall clock, in milliseconds; a clock step counts as a pause. */
   readonly epochNow: () => number
 }
 
-/** Creates a detector that starts now. */
+/** Creates a detector that measures from now on. */
 export function createPauseDetector(
   options: PauseDetectorOptions,
 ): PauseDetector {
--- a/packages/router/src/node/logging/createDecisionLog.ts
+++ b/packages/router/src/node/logging/createDecisionLog.ts
@@ -2,37 +2,37 @@
 import type { DecisionLog } from './decisionLog.js'
 import { LogEvent } from './logEvent.js'
 
-/** Bytes of lines that may wait to be written; further lines are dropped. */
-const MAX_WAITING_BYTES = 1024 * 1024
-/** Bytes that are gathered before they are written. */
+/** Output buffer size in bytes; lines beyond it are dropped. */
+const MAX_BUFFERED_BYTES = 1024 * 1024
+/** Bytes buffered before a write. */
 const BATCH_BYTES = 4096
-/** Milliseconds after which lines are written also below a whole batch. */
+/** Interval at which an incomplete batch is flushed, in milliseconds. */
 const FLUSH_MS = 500
 
-/** A log whose output can be ended. */
+/** A decision log that can be closed. */
 export interface ClosableLog extends DecisionLog {
-  /** Writes what waits. */
+  /** Flushes buffered lines. */
   close(): void
 }
 
-/** Creates a log of JSON lines on standard output that never blocks. */
+/** Creates a log of JSON lines on standard output; writes never block. */
 export function createDecisionLog(router: string): ClosableLog {
   const output = destination({
     dest: 1,
     sync: false,
     minLength: BATCH_BYTES,
-    maxLength: MAX_WAITING_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   })
   const logger = pino({ base: { router } }, output)
   let dropped = 0
   output.on('drop', () => {
     dropped += 1
   })
-  // A reader that went away must not end the router; its lines are dropped.
+  // A closed pipe must not crash the router; its lines are dropped.
   output.on('error', () => {
     dropped += 1
   })
-  const flushing = setInterval(() => {
+  const flushTimer = setInterval(() => {
     if (dropped > 0) {
       const count = dropped
       dropped = 0
@@ -40,18 +40,18 @@
     }
     output.flush()
   }, FLUSH_MS)
-  flushing.unref()
+  flushTimer.unref()
 
   return {
     write(event, fields) {
       logger.info({ event, ...fields })
     },
     close() {
-      clearInterval(flushing)
+      clearInterval(flushTimer)
       try {
         output.flushSync()
       } catch {
-        // Standard output takes no more; there is nowhere left to say so.
+        // Standard output is closed, so the error cannot be reported.
       }
     },
   }
--- a/packages/router/src/node/logging/decisionLog.ts
+++ b/packages/router/src/node/logging/decisionLog.ts
@@ -1,9 +1,9 @@
 import type { LogEvent } from './logEvent.js'
 
-/** A value of a log line's field. */
+/** Value of a field in a log line. */
 export type LogValue = string | number | boolean | undefined
 
-/** Writes one structured line for each decision and changed belief. */
+/** Writes one structured line for each decision and state change. */
 export interface DecisionLog {
   write(event: LogEvent, fields: Readonly<Record<string, LogValue>>): void
 }
--- a/packages/router/src/node/logging/logEvent.ts
+++ b/packages/router/src/node/logging/logEvent.ts
@@ -1,4 +1,4 @@
-/** What a log line is about. */
+/** Event names of log lines. */
 export enum LogEvent {
   Started = 'started',
   Failed = 'failed',
--- a/packages/router/src/node/metrics/createMetricsServer.ts
+++ b/packages/router/src/node/metrics/createMetricsServer.ts
@@ -2,7 +2,7 @@
 import { listen, type ListenAddress } from '@auburnbay/http-utils/listen'
 import type { RouterMetrics } from './routerMetrics.js'
 
-/** Serves a router's metrics as text, at any path. */
+/** Serves metrics in the Prometheus text format on every path. */
 export interface MetricsServer {
   close(): void
 }
--- a/packages/router/src/node/metrics/createRouterMetrics.ts
+++ b/packages/router/src/node/metrics/createRouterMetrics.ts
@@ -1,10 +1,10 @@
 import { Counter, Histogram, Registry } from 'prom-client'
 import type { RouterMetrics } from './routerMetrics.js'
 
-/** Bounds of the latency buckets in seconds. */
+/** Upper bounds of the latency buckets, in seconds. */
 const LATENCY_BUCKETS_S = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 30]
 
-/** Creates metrics in a registry of their own. */
+/** Creates metrics in a separate registry. */
 export function createRouterMetrics(): RouterMetrics {
   const registry = new Registry()
   const registers = [registry]
--- a/packages/router/src/node/metrics/routerMetrics.ts
+++ b/packages/router/src/node/metrics/routerMetrics.ts
@@ -1,11 +1,11 @@
-/** Counts and times what a router does. */
+/** Metrics of a router. */
 export interface RouterMetrics {
-  /** A request was answered; `status` is 0 where it was broken off. */
+  /** Records a finished request; `status` is 0 if the caller disconnected. */
   recordRequest(route: string, status: number, seconds: number): void
-  /** The head of a target's answer came. */
+  /** Records the time from a send to the response headers of the target. */
   recordResponseHead(service: string, seconds: number): void
-  /** A request was sent to a second target. */
+  /** Records a send to a further target. */
   recordResend(service: string, cause: string): void
-  /** Returns all figures as text. */
+  /** Returns all metrics in the Prometheus text format. */
   render(): Promise<string>
 }
--- a/packages/router/src/node/routerPorts.ts
+++ b/packages/router/src/node/routerPorts.ts
@@ -6,26 +6,26 @@
 import type { Target } from './targets/target.js'
 import type { TargetProtocol } from './targets/targetProtocol.js'
 
-/** The list that routers enter themselves in, to find each other. */
+/** Registry through which routers discover each other. */
 export interface RouterDirectory {
-  /** Enters this router; resolves with whether it is surely in. */
+  /** Registers a router; resolves to whether the registration is confirmed. */
   register(router: string, address: PeerAddress): Promise<boolean>
-  /** Returns the routers that entered, or undefined while the list cannot be read. */
+  /** Returns the registered routers, or undefined if the registry is unavailable. */
   list(): Promise<ReadonlyMap<string, PeerAddress> | undefined>
 }
 
-/** What stands between a router and the system that it runs in. */
+/** Interfaces through which a router uses the platform that it runs on. */
 export interface RouterPorts {
   readonly callerProtocol: CallerProtocol
   readonly targetProtocol: TargetProtocol
-  /** Configurations; every value is a whole one. */
+  /** Configurations; every value is a complete one. */
   readonly configurations: KeyedSource<RouterConfiguration>
   /** Targets by id. */
   readonly targets: KeyedSource<Target>
   readonly directory: RouterDirectory
 }
 
-/** Connects a router to the log service at an address. */
+/** Creates the ports of a router for the log service at an address. */
 export type CreatePorts = (
   logService: PeerAddress,
   log: DecisionLog,
--- a/packages/router/src/node/runRouter.ts
+++ b/packages/router/src/node/runRouter.ts
@@ -6,19 +6,19 @@
 import type { CreatePorts } from './routerPorts.js'
 import { readSettings } from './settings/readSettings.js'
 
-/** Milliseconds between two looks at whether the settings file changed. */
+/** Interval of the check for a changed settings file, in milliseconds. */
 const SETTINGS_CHECK_MS = 2_000
 
 function modifiedAtMs(path: string): number {
   try {
     return statSync(path).mtimeMs
   } catch {
-    // The file is being replaced; the next look finds it.
+    // The file is being replaced; the next check finds it.
     return 0
   }
 }
 
-/** Runs a router as a process until a signal stops it. */
+/** Runs a router until SIGTERM; reloads the settings on SIGHUP and when the file changes. */
 export async function runRouter(
   settingsPath: string,
   createPorts: CreatePorts,
--- a/packages/router/src/node/settings/__tests__/readSettings.test.ts
+++ b/packages/router/src/node/settings/__tests__/readSettings.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { readSettings, resolveSettings } from '../readSettings.js'
 
-const GOOD = {
+const VALID = {
   router: { id: 'r1', dataCentre: 'dc' },
   listen: {
     callers: '10.0.0.1:80',
@@ -21,25 +21,25 @@
 }
 
 describe('resolveSettings', () => {
-  it('reads addresses and ignores fields that it does not know', () => {
-    const settings = resolveSettings({ ...GOOD, later: true })._unsafeUnwrap()
+  it('parses addresses and ignores unknown fields', () => {
+    const settings = resolveSettings({ ...VALID, later: true })._unsafeUnwrap()
     assert.deepEqual(settings.listen.peers, { host: '10.0.0.1', port: 82 })
     assert.equal(settings.listen.metrics, undefined)
   })
 
-  it('names the field, what was expected and what to do', () => {
-    const listen = { ...GOOD.listen, callers: 'nowhere' }
-    const error = resolveSettings({ ...GOOD, listen })._unsafeUnwrapErr()
+  it('reports the field, the expected value and the remedy', () => {
+    const listen = { ...VALID.listen, callers: 'nowhere' }
+    const error = resolveSettings({ ...VALID, listen })._unsafeUnwrapErr()
     assert.match(
       error,
       /listen\.callers: expected HOST:PORT; correct the field/,
     )
-    const bounds = { ...GOOD.bounds, drainMs: 'soon' }
-    const other = resolveSettings({ ...GOOD, bounds })._unsafeUnwrapErr()
+    const bounds = { ...VALID.bounds, drainMs: 'soon' }
+    const other = resolveSettings({ ...VALID, bounds })._unsafeUnwrapErr()
     assert.match(other, /bounds\.drainMs: .*number/)
   })
 
-  it('says in one line that a file is missing', () => {
+  it('reports a missing file in one line', () => {
     const error = readSettings('/does/not/exist.json')._unsafeUnwrapErr()
     assert.match(
       error,
--- a/packages/router/src/node/settings/readSettings.ts
+++ b/packages/router/src/node/settings/readSettings.ts
@@ -3,7 +3,7 @@
 import * as v from 'valibot'
 import { type RouterSettings, settingsSchema } from './settingsSchema.js'
 
-/** Checks settings; an error names the field, what was expected and what to do. */
+/** Validates settings; the error names the field, the expected value and the remedy. */
 export function resolveSettings(
   settings: unknown,
 ): Result<RouterSettings, string> {
@@ -14,7 +14,7 @@
   return err(`settings: ${field}: ${issue.message}; correct the field`)
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function readSettings(path: string): Result<RouterSettings, string> {
   try {
     return resolveSettings(JSON.parse(readFileSync(path, 'utf8')))
--- a/packages/router/src/node/settings/settingsSchema.ts
+++ b/packages/router/src/node/settings/settingsSchema.ts
@@ -11,9 +11,9 @@
   }),
 )
 
-const positive = v.pipe(v.number(), v.minValue(0))
+const nonNegative = v.pipe(v.number(), v.minValue(0))
 
-/** Checks the settings of a router. */
+/** Schema of a router's settings. */
 export const settingsSchema = v.object({
   router: v.object({
     id: v.pipe(v.string(), v.minLength(1)),
@@ -22,25 +22,25 @@
   listen: v.object({
     callers: addressSchema,
     readiness: addressSchema,
-    /** For other routers, over TCP and UDP. */
+    /** Endpoint for other routers, over TCP and UDP. */
     peers: addressSchema,
-    /** Metrics as text; off without it. */
+    /** Endpoint for Prometheus metrics; disabled if absent. */
     metrics: v.optional(addressSchema),
   }),
-  /** The service that keeps configuration and targets. */
+  /** Log service that stores the configuration and the target list. */
   logService: addressSchema,
   bounds: v.object({
-    /** Milliseconds within which a leaving target gets no more work. */
-    drainMs: positive,
-    /** Seconds from the order to stop until the process is killed. */
-    gracePeriodS: positive,
-    /** Milliseconds within which a configuration is in force. */
-    configurationMs: positive,
-    /** Second sends for each request of a service, over all routers. */
-    retryRatio: positive,
-    /** Second sends in a window beyond the ratio. */
-    retryAllowance: positive,
-    retryWindowS: positive,
+    /** Time until a draining target gets no more requests, in milliseconds. */
+    drainMs: nonNegative,
+    /** Time from SIGTERM until the process is killed, in seconds. */
+    gracePeriodS: nonNegative,
+    /** Time until a new configuration is active, in milliseconds. */
+    configurationMs: nonNegative,
+    /** Retries per request of a service, over all routers. */
+    retryRatio: nonNegative,
+    /** Retries per window in addition to the ratio. */
+    retryAllowance: nonNegative,
+    retryWindowS: nonNegative,
   }),
 })
 
--- a/packages/router/src/node/stopping/createReadinessServer.ts
+++ b/packages/router/src/node/stopping/createReadinessServer.ts
@@ -5,12 +5,12 @@
   type ListenAddress,
 } from '@auburnbay/http-utils/listen'
 
-/** Tells the balancer whether this router takes new connections. */
+/** Readiness endpoint for the load balancer. */
 export interface ReadinessServer {
   close(): Promise<void>
 }
 
-/** Starts to answer at any path; rejects when the address is in use. */
+/** Starts serving 200 or 503 on every path; rejects when the address is in use. */
 export async function createReadinessServer(
   address: ListenAddress,
   isReady: () => boolean,
