--- a/packages/http-utils/src/node/__tests__/exchange.test.ts
+++ b/packages/http-utils/src/node/__tests__/exchange.test.ts
@@ -7,7 +7,7 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\nX-Name: 1\r\n\r\n'
 
-async function readFrom(end: (socket: Socket) => void): Promise<string> {
+async function readBodyUntil(end: (socket: Socket) => void): Promise<string> {
   const server = createServer((socket) => {
     socket.on('error', () => undefined)
     socket.once('data', () => {
@@ -19,7 +19,7 @@
   const { host, port } = await listen(server, { host: '127.0.0.1', port: 0 })
   const agent = new ConnectionPool(1_000)
   try {
-    const answer = await exchange({
+    const response = await exchange({
       url: `http://${host}:${port}`,
       path: '/a/../b',
       method: 'GET',
@@ -29,9 +29,9 @@
       agent,
       limits: { connectTimeoutMs: 5_000, firstByteTimeoutMs: 5_000 },
     })
-    if (answer.isErr()) return `no answer: ${answer.error.message}`
+    if (response.isErr()) return `no response: ${response.error.message}`
     let body = ''
-    for await (const piece of answer.value) body += String(piece)
+    for await (const chunk of response.value) body += String(chunk)
     return body
   } catch {
     return 'broken'
@@ -42,17 +42,17 @@
 }
 
 describe('exchange', () => {
-  it('takes the end of the connection for the end of a body without a length', async () => {
-    const body = await readFrom((socket) => {
+  it('reads a body without a length up to the end of the connection', async () => {
+    const body = await readBodyUntil((socket) => {
       socket.end()
     })
     assert.equal(body, 'part')
   })
 
-  it('takes no reset that comes with the data for the end of the body', async () => {
-    // The reset and the data reach this process together in most tries.
+  it('does not report a reset that arrives with the data as the end of the body', async () => {
+    // Reset and data arrive together in most attempts.
     for (let i = 0; i < 20; i += 1) {
-      const body = await readFrom((socket) => {
+      const body = await readBodyUntil((socket) => {
         socket.resetAndDestroy()
       })
       assert.notEqual(body, 'part')
--- a/packages/http-utils/src/node/__tests__/requestBytes.test.ts
+++ b/packages/http-utils/src/node/__tests__/requestBytes.test.ts
@@ -15,7 +15,7 @@
 
 const TIMEOUT_MS = 1_000
 
-describe('a small call', () => {
+describe('requestBytes', () => {
   const server = createServer()
   let url = ''
 
@@ -34,12 +34,13 @@
     mock.timers.reset()
   })
 
-  const call = () => requestBytes({ method: 'GET', url, timeoutMs: TIMEOUT_MS })
+  const sendRequest = () =>
+    requestBytes({ method: 'GET', url, timeoutMs: TIMEOUT_MS })
 
-  /** Resolves once what was written has gone through the sockets. */
-  async function flush(res: ServerResponse, piece: string): Promise<void> {
+  /** Writes a chunk and resolves once the client has received it. */
+  async function writeChunk(res: ServerResponse, chunk: string): Promise<void> {
     await new Promise<void>((resolve) => {
-      res.write(piece, () => {
+      res.write(chunk, () => {
         resolve()
       })
     })
@@ -47,43 +48,45 @@
       await new Promise((resolve) => setImmediate(resolve))
   }
 
-  async function begin() {
-    const asked = once(server, 'request') as Promise<[unknown, ServerResponse]>
-    const reply = call()
-    const [, res] = await asked
-    return { reply, res }
+  async function receiveRequest() {
+    const received = once(server, 'request') as Promise<
+      [unknown, ServerResponse]
+    >
+    const pending = sendRequest()
+    const [, res] = await received
+    return { pending, res }
   }
 
-  it('takes a long answer over a narrow link', async () => {
-    const { reply, res } = await begin()
-    for (let piece = 0; piece < 4; piece += 1) {
-      await flush(res, 'piece')
+  it('allows a response that takes longer than the timeout while bytes arrive', async () => {
+    const { pending, res } = await receiveRequest()
+    for (let i = 0; i < 4; i += 1) {
+      await writeChunk(res, 'chunk')
       mock.timers.tick(0.9 * TIMEOUT_MS)
     }
     res.end()
-    const answer = await reply
-    assert.equal(answer._unsafeUnwrap().body.toString(), 'piece'.repeat(4))
+    const response = await pending
+    assert.equal(response._unsafeUnwrap().body.toString(), 'chunk'.repeat(4))
   })
 
-  it('is given up when the answer stands still', async () => {
-    const { reply, res } = await begin()
-    await flush(res, 'piece')
+  it('aborts when the response stalls', async () => {
+    const { pending, res } = await receiveRequest()
+    await writeChunk(res, 'chunk')
     mock.timers.tick(TIMEOUT_MS)
-    assert.ok((await reply).isErr())
+    assert.ok((await pending).isErr())
   })
 
-  it('is given up when no answer begins', async () => {
-    const { reply } = await begin()
+  it('aborts when no response starts', async () => {
+    const { pending } = await receiveRequest()
     mock.timers.tick(TIMEOUT_MS)
-    assert.ok((await reply).isErr())
+    assert.ok((await pending).isErr())
   })
 
-  it('is given up in the end, however steadily bytes come', async () => {
-    const { reply, res } = await begin()
-    for (let piece = 0; piece < 6; piece += 1) {
-      await flush(res, 'piece')
+  it('aborts after the maximum duration even while bytes arrive', async () => {
+    const { pending, res } = await receiveRequest()
+    for (let i = 0; i < 6; i += 1) {
+      await writeChunk(res, 'chunk')
       mock.timers.tick(0.9 * TIMEOUT_MS)
     }
-    assert.ok((await reply).isErr())
+    assert.ok((await pending).isErr())
   })
 })
--- a/packages/http-utils/src/node/connectionPool.ts
+++ b/packages/http-utils/src/node/connectionPool.ts
@@ -2,73 +2,73 @@
 import { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
 
-/** Where and when a connection was opened. */
+/** Target address and sequence number of a connection. */
 interface ConnectionOrigin {
   readonly address: string
-  /** Counts up with each connection that is opened. */
-  readonly number: number
+  /** Increases with each connection that is opened. */
+  readonly sequence: number
 }
 
-function destroyUnsolicited(this: Duplex): void {
+function destroyOnUnsolicitedData(this: Duplex): void {
   this.destroy()
 }
 
-/** Keeps connections to targets, one request on each at a time. */
+/** HTTP agent that keeps connections to targets alive and can retire them by address. */
 export class ConnectionPool extends Agent {
-  private opened = 0
+  private openedCount = 0
   private readonly origins = new WeakMap<Duplex, ConnectionOrigin>()
   private readonly idle = new Map<string, Set<Duplex>>()
-  private readonly condemnedUpTo = new Map<string, number>()
+  private readonly retiredUpTo = new Map<string, number>()
 
-  /** @param idleMs Milliseconds that a connection is kept without a request. */
+  /** @param idleMs Time that an idle connection is kept, in milliseconds. */
   constructor(private readonly idleMs: number) {
     super({ keepAlive: true })
   }
 
-  /** Records a connection that a request has been given. */
+  /** Records the address of a connection that was assigned to a request. */
   recordConnection(socket: Duplex, address: string): void {
     if (this.origins.has(socket)) return
-    this.opened += 1
-    this.origins.set(socket, { address, number: this.opened })
+    this.openedCount += 1
+    this.origins.set(socket, { address, sequence: this.openedCount })
     socket.once('close', () => {
       this.removeIdle(address, socket)
     })
   }
 
-  /** Closes every connection to `address` that was opened up to now. */
+  /** Closes idle connections to `address` and stops the reuse of those in use. */
   retireConnections(address: string): void {
-    this.condemnedUpTo.set(address, this.opened)
+    this.retiredUpTo.set(address, this.openedCount)
     for (const socket of this.idle.get(address) ?? []) socket.destroy()
   }
 
-  // Called by the agent when an answer has ended and the connection could stay.
+  // Called by the agent when a response has ended and the connection could be reused.
   override keepSocketAlive(socket: Duplex): boolean {
     const origin = this.origins.get(socket)
-    if (origin === undefined || this.isCondemned(origin)) return false
+    if (origin === undefined || this.isRetired(origin)) return false
     if (!this.agentKeeps(socket)) return false
     const { idleMs } = this
     if (socket instanceof Socket) socket.setTimeout(idleMs)
-    // A target that sends without being asked has lost track of its answers.
-    socket.on('data', destroyUnsolicited)
+    // After unsolicited data, responses can no longer be matched to requests.
+    socket.on('data', destroyOnUnsolicitedData)
     this.addIdle(origin.address, socket)
     return true
   }
 
   override reuseSocket(socket: Duplex, req: ClientRequest): void {
-    socket.off('data', destroyUnsolicited)
+    socket.off('data', destroyOnUnsolicitedData)
     const origin = this.origins.get(socket)
     if (origin) this.removeIdle(origin.address, socket)
     super.reuseSocket(socket, req)
   }
 
   private agentKeeps(socket: Duplex): boolean {
-    // The declared type is void, but the agent returns whether to keep.
+    // The declared type is void, but the agent returns whether to keep the socket.
     const keep: (socket: Duplex) => unknown = super.keepSocketAlive.bind(this)
     return keep(socket) === true
   }
 
-  private isCondemned({ address, number }: ConnectionOrigin): boolean {
-    return number <= (this.condemnedUpTo.get(address) ?? 0)
+  private isRetired({ address, sequence }: ConnectionOrigin): boolean {
+    return sequence <= (this.retiredUpTo.get(address) ?? 0)
   }
 
   private addIdle(address: string, socket: Duplex): void {
--- a/packages/http-utils/src/node/createNodeFetch.ts
+++ b/packages/http-utils/src/node/createNodeFetch.ts
@@ -5,7 +5,7 @@
 
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
-/** The part of the fetch options that clients of ours set. */
+/** Supported subset of the fetch options. */
 export interface NodeFetchInit {
   readonly method?: string
   readonly headers?: [string, string][] | Record<string, string>
@@ -13,7 +13,7 @@
   readonly signal?: AbortSignal | null
 }
 
-/** Bytes that a fetch function has sent and received, headers included. */
+/** Bytes sent and received, including headers. */
 export interface TrafficCount {
   sentBytes: number
   receivedBytes: number
@@ -24,7 +24,7 @@
   received: number
 }
 
-/** Adds what went over `socket` since the last call to `traffic`. */
+/** Adds the bytes transferred on `socket` since the last call to `traffic`. */
 function countBytes(
   socket: Socket,
   seen: WeakMap<Socket, SocketBytes>,
@@ -37,7 +37,7 @@
   seen.set(socket, after)
 }
 
-/** Creates a `fetch` over Node's `http` with kept connections. */
+/** Creates a `fetch` function on `node:http` with persistent connections. */
 export function createNodeFetch(
   agent: Agent = new Agent({ keepAlive: true }),
   traffic: TrafficCount = { sentBytes: 0, receivedBytes: 0 },
@@ -52,7 +52,7 @@
         signal: init.signal ?? undefined,
         headers: Object.fromEntries(new Headers(init.headers)),
       })
-      // HTTP/1.1 keeps connections by default.
+      // HTTP/1.1 connections are persistent by default.
       req.removeHeader('connection')
       req.on('error', reject)
       req.on('response', (res) => {
@@ -60,7 +60,7 @@
         void readBody(res, MAX_RESPONSE_BYTES).then((body) => {
           countBytes(socket, seen, traffic)
           if (body.isErr()) {
-            reject(new Error(`the answer was cut off (${body.error})`))
+            reject(new Error(`incomplete response body (${body.error})`))
             return
           }
           const headers = { 'content-type': 'application/json' }
--- a/packages/http-utils/src/node/createWebServer.ts
+++ b/packages/http-utils/src/node/createWebServer.ts
@@ -10,10 +10,10 @@
 } from 'node:https'
 import type { TlsMaterial } from './tlsFiles.js'
 
-/** A server for HTTP, with or without TLS. */
+/** An HTTP server with or without TLS. */
 export type WebServer = HttpServer | HttpsServer
 
-/** Creates a server; with a CA only clients with its certificates get in. */
+/** Creates a server; with a CA it requires client certificates signed by it. */
 export function createWebServer(
   options: ServerOptions,
   listener: RequestListener,
--- a/packages/http-utils/src/node/exchange.ts
+++ b/packages/http-utils/src/node/exchange.ts
@@ -9,20 +9,20 @@
 import { err, ok, type Result } from 'neverthrow'
 import { pauseBetweenReads } from './pauseBetweenReads.js'
 
-/** How long a target may take. */
+/** Timeouts of an exchange. */
 export interface ExchangeLimits {
   readonly connectTimeoutMs: number
-  /** Milliseconds until the first byte of an answer. */
+  /** Time until the response headers, in milliseconds. */
   readonly firstByteTimeoutMs: number
 }
 
-/** One request on one connection. */
+/** Options for {@link exchange}. */
 export interface ExchangeOptions {
   readonly url: string
-  /** Sent as it is; without it the path of `url`. */
+  /** Sent without normalisation; defaults to the path of `url`. */
   readonly path?: string
   readonly method: string
-  /** Fields, or names and values alternating, sent as they are. */
+  /** Headers as an object or as alternating names and values, sent unchanged. */
   readonly headers: OutgoingHttpHeaders | readonly string[]
   readonly body: Buffer
   readonly signal: AbortSignal
@@ -31,21 +31,21 @@
   readonly onSocket?: (socket: Socket) => void
 }
 
-/** Why no answer came. */
+/** Why an exchange got no response. */
 export enum ExchangeError {
-  /** The connection could not be opened, broke or sent no valid HTTP. */
+  /** The connection failed, was closed or carried invalid HTTP. */
   Broken = 'broken',
-  /** The target was silent beyond a limit. */
+  /** The target exceeded a timeout. */
   TimedOut = 'silent',
-  /** The caller went away or the deadline passed. */
+  /** The signal was aborted. */
   Aborted = 'aborted',
 }
 
-/** A request without an answer. */
+/** A request without a response. */
 export interface ExchangeFailure {
   readonly error: ExchangeError
   readonly progress: AttemptProgress
-  /** Whether the connection had carried an earlier request. */
+  /** Whether the connection was reused from an earlier request. */
   readonly reusedConnection: boolean
   readonly message: string
 }
@@ -58,7 +58,7 @@
   )
 }
 
-/** Sends a request and resolves with the head of its answer. */
+/** Sends a request and resolves once the response headers arrive. */
 export function exchange(
   call: ExchangeOptions,
 ): Promise<Result<IncomingMessage, ExchangeFailure>> {
@@ -66,8 +66,8 @@
   return new Promise((resolve) => {
     let progress = AttemptProgress.NothingWritten
     let timer: NodeJS.Timeout | undefined
-    let silent = false
-    let answer: IncomingMessage | undefined
+    let timedOut = false
+    let response: IncomingMessage | undefined
     const req = request(url, {
       agent,
       method,
@@ -76,53 +76,59 @@
       ...(path !== undefined && { path }),
     })
 
-    function limit(ms: number, message: string): void {
+    function startTimeout(ms: number, message: string): void {
       clearTimeout(timer)
       timer = setTimeout(() => {
-        silent = true
+        timedOut = true
         req.destroy(new Error(message))
       }, ms)
     }
 
-    function errorKind(): ExchangeError {
-      if (silent) return ExchangeError.TimedOut
+    function classifyError(): ExchangeError {
+      if (timedOut) return ExchangeError.TimedOut
       return signal.aborted ? ExchangeError.Aborted : ExchangeError.Broken
     }
 
     function fail(message: string): void {
       clearTimeout(timer)
       const { reusedSocket: reusedConnection } = req
-      const error = errorKind()
+      const error = classifyError()
       resolve(err({ error, progress, reusedConnection, message }))
     }
 
     function write(): void {
       if (req.destroyed) return
-      limit(limits.firstByteTimeoutMs, 'the target sent no answer in time')
+      startTimeout(
+        limits.firstByteTimeoutMs,
+        `no response headers within ${limits.firstByteTimeoutMs} ms`,
+      )
       progress = AttemptProgress.Written
       req.end(body)
     }
 
-    limit(limits.connectTimeoutMs, 'connecting took too long')
+    startTimeout(
+      limits.connectTimeoutMs,
+      `not connected within ${limits.connectTimeoutMs} ms`,
+    )
     req.once('socket', (socket) => {
       call.onSocket?.(socket)
       if (socket.connecting) socket.once('connect', write)
       else write()
     })
     req.on('error', (error) => {
-      // A reset would otherwise pass for the end of a body without a length.
-      answer?.destroy(error)
+      // Otherwise a reset looks like the end of a body without a length.
+      response?.destroy(error)
       fail(error.message)
     })
-    // An answer that switches protocols ends without `response` or `error`.
+    // A response that switches protocols emits neither `response` nor `error`.
     req.once('close', () => {
-      fail('the connection closed without an answer')
+      fail('the connection closed without a response')
     })
     req.once('response', (res) => {
       clearTimeout(timer)
-      answer = res
+      response = res
       if (!hasLength(res)) pauseBetweenReads(res.socket)
-      // Errors reach whoever reads the body; there may be no reader yet.
+      // Whoever reads the body gets the error; without a reader it must not be unhandled.
       res.on('error', () => undefined)
       resolve(ok(res))
     })
--- a/packages/http-utils/src/node/hopByHop.ts
+++ b/packages/http-utils/src/node/hopByHop.ts
@@ -1,4 +1,4 @@
-/** Header fields that concern one connection and are never passed on. */
+/** Hop-by-hop headers, which must not be forwarded. */
 export const HOP_BY_HOP: readonly string[] = [
   'connection',
   'keep-alive',
@@ -11,7 +11,7 @@
   'upgrade',
 ]
 
-/** Returns the fields that a `Connection` header declares hop-by-hop as well. */
+/** Returns the header names that a `Connection` header lists, in lower case. */
 export function connectionOptions(value: string): string[] {
   return value
     .toLowerCase()
--- a/packages/http-utils/src/node/listen.ts
+++ b/packages/http-utils/src/node/listen.ts
@@ -1,13 +1,13 @@
 import type { AddressInfo, Server } from 'node:net'
 import type { WebServer } from './createWebServer.js'
 
-/** Where a server listens; port 0 takes a free one. */
+/** Address that a server listens on; port 0 selects a free port. */
 export interface ListenAddress {
   readonly host: string
   readonly port: number
 }
 
-/** Starts listening and returns the address taken; rejects when it is in use. */
+/** Starts listening and resolves to the bound address; rejects when it is in use. */
 export function listen(
   server: Server,
   address: ListenAddress,
@@ -32,7 +32,7 @@
   })
 }
 
-/** Writes an address as `host:port`. */
+/** Formats an address as `host:port`. */
 export function formatAddress(address: ListenAddress): string {
   return `${address.host}:${address.port}`
 }
--- a/packages/http-utils/src/node/pauseBetweenReads.ts
+++ b/packages/http-utils/src/node/pauseBetweenReads.ts
@@ -1,6 +1,6 @@
 import type { Socket } from 'node:net'
 
-/** The part of a socket's handle that Node's own HTTP client uses as well. */
+/** Methods of Node's internal socket handle, which its HTTP client uses as well. */
 interface ReadingHandle {
   readStart(): number
   readStop(): number
@@ -11,17 +11,18 @@
 }
 
 /**
- * Has the end of a body without a length read apart from its data. libuv reports
- * a reset that comes along with data as the end of the stream, unless reading
- * was stopped in between; `socket.pause()` does not stop it.
+ * Pauses reading after each chunk, so that the end of a body without a length is
+ * read separately from its data. libuv reports a reset that arrives together with
+ * data as the end of the stream, unless reading was stopped in between;
+ * `socket.pause()` does not stop it.
  */
 export function pauseBetweenReads(socket: Socket): void {
-  const pauseReading = (): void => {
+  const pause = (): void => {
     handleOf(socket)?.readStop()
     setImmediate(() => {
       handleOf(socket)?.readStart()
     })
   }
-  socket.on('data', pauseReading)
-  pauseReading()
+  socket.on('data', pause)
+  pause()
 }
--- a/packages/http-utils/src/node/requestBytes.ts
+++ b/packages/http-utils/src/node/requestBytes.ts
@@ -3,81 +3,81 @@
 import { readBody } from './readBody.js'
 import { requestUrl } from './requestUrl.js'
 
-/** A small call over HTTP. */
+/** Options for {@link requestBytes}. */
 export interface RequestBytesOptions {
   readonly method: string
   readonly url: string
   readonly body?: Buffer
   readonly headers?: OutgoingHttpHeaders
-  /** Milliseconds until the answer begins, and between two pieces of it. */
+  /** Timeout until the response starts and between two chunks of it, in milliseconds. */
   readonly timeoutMs: number
   readonly agent?: Agent
 }
 
-/** A whole answer. */
+/** A complete response. */
 export interface BytesResponse {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly body: Buffer
 }
 
-/** A call that brought no whole answer; it may still have taken effect. */
+/** A request without a complete response; it may still have taken effect. */
 export interface RequestError {
   readonly message: string
 }
 
 const MAX_RESPONSE_BYTES = 64 * 1024 * 1024
-/** A whole call takes this many time-outs at most, however steadily bytes come. */
+/** Maximum duration of a request in multiples of its timeout, even if bytes keep arriving. */
 const MAX_TIMEOUTS = 5
 
-/** Sends a request and reads the whole answer. */
+/** Sends a request and reads the complete response. */
 export function requestBytes(
-  call: RequestBytesOptions,
+  options: RequestBytesOptions,
 ): Promise<Result<BytesResponse, RequestError>> {
   return new Promise((resolve) => {
-    const givenUp = new AbortController()
-    const giveUp = (): void => {
-      givenUp.abort()
+    const aborter = new AbortController()
+    const abort = (): void => {
+      aborter.abort()
     }
-    let idle = setTimeout(giveUp, call.timeoutMs)
-    const heard = (): void => {
-      clearTimeout(idle)
-      idle = setTimeout(giveUp, call.timeoutMs)
+    let idleTimer = setTimeout(abort, options.timeoutMs)
+    const restartIdleTimer = (): void => {
+      clearTimeout(idleTimer)
+      idleTimer = setTimeout(abort, options.timeoutMs)
     }
-    const whole = setTimeout(giveUp, MAX_TIMEOUTS * call.timeoutMs)
-    const end = (result: Result<BytesResponse, RequestError>): void => {
-      clearTimeout(idle)
-      clearTimeout(whole)
+    const totalTimer = setTimeout(abort, MAX_TIMEOUTS * options.timeoutMs)
+    const finish = (result: Result<BytesResponse, RequestError>): void => {
+      clearTimeout(idleTimer)
+      clearTimeout(totalTimer)
       resolve(result)
     }
     const fail = (message: string): void => {
-      end(err({ message: `${call.method} ${call.url}: ${message}` }))
+      finish(err({ message: `${options.method} ${options.url}: ${message}` }))
     }
-    const req = requestUrl(call.url, {
-      method: call.method,
-      agent: call.agent,
-      signal: givenUp.signal,
+    const req = requestUrl(options.url, {
+      method: options.method,
+      agent: options.agent,
+      signal: aborter.signal,
       headers: {
-        ...(call.body && { 'content-length': call.body.length }),
-        ...call.headers,
+        ...(options.body && { 'content-length': options.body.length }),
+        ...options.headers,
       },
     })
     req.on('error', (error) => {
       fail(error.message)
     })
     req.on('response', (res) => {
-      heard()
+      restartIdleTimer()
       void readBody(res, MAX_RESPONSE_BYTES).then((body) => {
         if (body.isErr()) {
-          fail(`the answer was cut off (${body.error})`)
+          fail(`incomplete response body (${body.error})`)
           return
         }
         const { statusCode: status = 0, headers } = res
-        end(ok({ status, headers, body: body.value }))
+        finish(ok({ status, headers, body: body.value }))
       })
-      // The body is being read already; this only looks on.
-      res.on('data', heard)
+      // `readBody` consumes the body; this listener only observes the chunks.
+      res.on('data', restartIdleTimer)
     })
-    req.end(call.body)
+    req.end(options.body)
   })
 }
--- a/packages/http-utils/src/node/requestJson.ts
+++ b/packages/http-utils/src/node/requestJson.ts
@@ -5,12 +5,12 @@
   requestBytes,
 } from './requestBytes.js'
 
-/** A small JSON call over HTTP. */
+/** Options for {@link requestJson}. */
 export interface RequestJsonOptions extends Omit<RequestBytesOptions, 'body'> {
   readonly body?: unknown
 }
 
-/** A JSON answer. */
+/** A JSON response. */
 export interface JsonResponse {
   readonly status: number
   readonly body: unknown
@@ -20,13 +20,13 @@
   return text === '' ? undefined : JSON.parse(text)
 }
 
-/** Sends a JSON request and reads the JSON answer. */
+/** Sends a JSON request and parses the JSON response. */
 export async function requestJson(
-  call: RequestJsonOptions,
+  options: RequestJsonOptions,
 ): Promise<Result<JsonResponse, RequestError>> {
-  const { body, headers, ...rest } = call
+  const { body, headers, ...rest } = options
   const isEmpty = body === undefined
-  const reply = await requestBytes({
+  const response = await requestBytes({
     ...rest,
     ...(!isEmpty && { body: Buffer.from(JSON.stringify(body)) }),
     headers: {
@@ -34,13 +34,13 @@
       ...headers,
     },
   })
-  if (reply.isErr()) return err(reply.error)
+  if (response.isErr()) return err(response.error)
   try {
-    const { status } = reply.value
-    return ok({ status, body: parse(reply.value.body.toString('utf8')) })
+    const { status } = response.value
+    return ok({ status, body: parse(response.value.body.toString('utf8')) })
   } catch {
     return err({
-      message: `${call.method} ${call.url}: the answer is not JSON`,
+      message: `${options.method} ${options.url}: the response is not JSON`,
     })
   }
 }
--- a/packages/http-utils/src/node/requestUrl.ts
+++ b/packages/http-utils/src/node/requestUrl.ts
@@ -5,7 +5,7 @@
 } from 'node:http'
 import { request as requestHttps } from 'node:https'
 
-/** Opens a request over HTTP or HTTPS, as the URL says. */
+/** Opens an HTTP or HTTPS request, depending on the protocol of the URL. */
 export function requestUrl(
   url: string | URL,
   options: RequestOptions,
--- a/packages/http-utils/src/node/tlsFiles.ts
+++ b/packages/http-utils/src/node/tlsFiles.ts
@@ -2,11 +2,11 @@
 import { createSecureContext } from 'node:tls'
 import { err, ok, type Result } from 'neverthrow'
 
-/** Where the PEM files of a listener or client lie. */
+/** Paths of the PEM files of a server or client. */
 export interface TlsFiles {
   readonly certFile?: string
   readonly keyFile?: string
-  /** Certificates that the other side's must be signed by. */
+  /** CA certificates that must have signed the peer's certificate. */
   readonly caFile?: string
 }
 
@@ -21,7 +21,7 @@
   return path === undefined ? undefined : readFileSync(path, 'utf8')
 }
 
-/** Reads the files and checks that they belong together; the error names no contents. */
+/** Reads the files and checks that they match; the error contains no file contents. */
 export function readTlsFiles(files: TlsFiles): Result<TlsMaterial, string> {
   try {
     const material = {
