--- a/packages/http-utils/src/node/connectionPool.ts
+++ b/packages/http-utils/src/node/connectionPool.ts
@@ -35,7 +35,7 @@
     })
   }
 
-  /** Closes idle connections to `address` and stops the reuse of those in use. */
+  /** Retires the connections to `address` opened so far: idle ones are closed, the others not reused. */
   retireConnections(address: string): void {
     this.retiredUpTo.set(address, this.openedCount)
     for (const socket of this.idle.get(address) ?? []) socket.destroy()
--- a/packages/http-utils/src/node/exchange.ts
+++ b/packages/http-utils/src/node/exchange.ts
@@ -37,7 +37,7 @@
   Broken = 'broken',
   /** The target exceeded a timeout. */
   TimedOut = 'silent',
-  /** The signal was aborted. */
+  /** Aborted by the signal: the caller disconnected or the deadline passed. */
   Aborted = 'aborted',
 }
 
@@ -128,7 +128,7 @@
       clearTimeout(timer)
       response = res
       if (!hasLength(res)) pauseBetweenReads(res.socket)
-      // Whoever reads the body gets the error; without a reader it must not be unhandled.
+      // The reader of the body gets the error; before there is one, it must not be unhandled.
       res.on('error', () => undefined)
       resolve(ok(res))
     })
