--- a/packages/router/src/node/callers/createCallerServer.ts
+++ b/packages/router/src/node/callers/createCallerServer.ts
@@ -3,23 +3,18 @@
   type IncomingMessage,
   type ServerResponse,
 } from 'node:http'
-import { hash32 } from '@auburnbay/core/hash/hash32'
 import { Verdict } from '@auburnbay/core/verdict/verdict'
 import type { RequestFailure } from '@auburnbay/core/verdict/requestFailure'
 import { listen, type ListenAddress } from '@auburnbay/http-utils/listen'
 import { BodyError, readBody } from '@auburnbay/http-utils/readBody'
-import { err, ok, type Result } from 'neverthrow'
-import type {
-  ActiveConfiguration,
-  ConfigurationStore,
-} from '../configuration/createConfigurationStore.js'
-import type { Route } from '../configuration/route.js'
+import { err } from 'neverthrow'
+import type { ConfigurationStore } from '../configuration/createConfigurationStore.js'
 import type { DecisionLog } from '../logging/decisionLog.js'
 import { LogEvent } from '../logging/logEvent.js'
 import type { RouterMetrics } from '../metrics/routerMetrics.js'
+import { type AdmittedRequest, admitRequest } from './admitRequest.js'
 import type { Call } from './call.js'
 import type { CallerProtocol } from './callerProtocol.js'
-import type { CallerRequest } from './callerRequest.js'
 import type { Dispatcher } from './createDispatcher.js'
 import { failures } from './failures.js'
 import { sendFailure } from './sendFailure.js'
@@ -38,7 +33,7 @@
 /** Options for {@link createCallerServer}. */
 export interface CallerServerOptions {
   readonly address: ListenAddress
-  readonly configurationStore: ConfigurationStore
+  readonly configurations: ConfigurationStore
   readonly protocol: CallerProtocol
   readonly dispatcher: Dispatcher
   readonly log: DecisionLog
@@ -62,56 +57,11 @@
   close(): void
 }
 
-type AdmittedRequest = Omit<Call, 'body' | 'signal' | 'dueAtMs'>
-
-function pathOf(url: string): string {
-  const query = url.indexOf('?')
-  return query < 0 ? url : url.slice(0, query)
-}
-
-/** Selects a service by weight, deterministically for an attempt id. */
-function selectService({ services }: Route, attemptId: string): string {
-  let total = 0
-  for (const { weight } of services) total += weight
-  let point = (hash32(attemptId) / 2 ** 32) * total
-  for (const { service, weight } of services) {
-    if (point < weight) return service
-    point -= weight
-  }
-  return services.at(-1)?.service ?? ''
-}
-
-function admit(
-  req: IncomingMessage,
-  request: CallerRequest,
-  active: ActiveConfiguration,
-): Result<AdmittedRequest, RequestFailure> {
-  const path = req.url ?? '/'
-  const route = active.routes.find(request.host, pathOf(path))
-  if (!route) return err(failures.noRoute)
-  const customer =
-    request.key === undefined
-      ? undefined
-      : active.customersByKey?.get(request.key)
-  const needsKey = active.customersByKey !== undefined && !route.anonymous
-  if (needsKey && !customer) return err(failures.wrongKey)
-  return ok({
-    request,
-    method: req.method ?? 'GET',
-    path,
-    rawHeaders: req.rawHeaders,
-    route,
-    service: selectService(route, request.attemptId),
-    ...(customer && { customer }),
-  })
-}
-
 /** Starts listening for callers; rejects when the address is in use. */
 export async function createCallerServer(
   options: CallerServerOptions,
 ): Promise<CallerServer> {
-  const { configurationStore, protocol, dispatcher, log, metrics, now } =
-    options
+  const { configurations, protocol, dispatcher, log, metrics, now } = options
   let inFlight = 0
   let closeConnections = false
   let refuseRequests = false
@@ -126,7 +76,7 @@
       status: failure.status,
       code: failure.code,
       verdict: failure.verdict,
-      version: configurationStore.version,
+      version: configurations.version,
     })
     sendFailure(res, failure)
   }
@@ -169,7 +119,7 @@
       route: route.name,
       service: admitted.service,
       customer: admitted.customer?.name,
-      version: configurationStore.version,
+      version: configurations.version,
       targetsAgeMs: Math.round(options.targetsAgeMs()),
       target,
       sends,
@@ -186,7 +136,7 @@
     res: ServerResponse,
   ): Promise<void> {
     const request = protocol.decodeRequest(req)
-    const limits = configurationStore.current?.configuration.limits
+    const limits = configurations.current?.configuration.limits
     const maxBytes = limits?.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES
     const body = await readBody(req, maxBytes)
     if (body.isErr()) {
@@ -196,9 +146,9 @@
       return
     }
     if (closeConnections) res.shouldKeepAlive = false
-    const active = configurationStore.current
+    const active = configurations.current
     const admitted = active
-      ? admit(req, request, active)
+      ? admitRequest(req, request, active)
       : err(failures.starting)
     if (refuseRequests) {
       refuse(res, request.attemptId, failures.stopping)
@@ -218,7 +168,7 @@
       connectionsCheckingInterval: CONNECTION_CHECK_MS,
     },
     (req, res) => {
-      const limits = configurationStore.current?.configuration.limits
+      const limits = configurations.current?.configuration.limits
       if (limits) {
         server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS
         server.headersTimeout = limits.headerTimeoutMs
--- a/packages/router/src/node/createRouter.ts
+++ b/packages/router/src/node/createRouter.ts
@@ -148,7 +148,7 @@
   })
   const callers = await createCallerServer({
     address: settings.listen.callers,
-    configurationStore: keeper,
+    configurations: keeper,
     protocol: ports.callerProtocol,
     dispatcher: createDispatcher({
       load,
