--- a/packages/router/src/node/callers/createDispatcher.ts
+++ b/packages/router/src/node/callers/createDispatcher.ts
@@ -26,54 +26,48 @@
 import type { DispatchOutcome } from './dispatchOutcome.js'
 import {
   type CallProgress,
-  createCallProgress,
-  resolveFailure,
   canRetry,
   canRetryAfterTimeout,
+  createCallProgress,
   MIN_REMAINING_MS,
+  resolveFailure,
 } from './callProgress.js'
 import { createResponseRelay } from './createResponseRelay.js'
+import { NextStep } from './nextStep.js'
 import { RelayOutcome } from './relayOutcome.js'
 
-/** Sends of one request that targets may refuse or that reach none. */
+/** Maximum number of sends of one request, including refused and undelivered ones. */
 const MAX_SENDS = 4
-const SERVER_ERROR_FROM = 500
+const MIN_SERVER_ERROR_STATUS = 500
 const MS_PER_S = 1_000
 
-/** What the dispatcher works with. */
+/** Options for {@link createDispatcher}. */
 export interface DispatcherOptions {
   readonly load: FleetLoad
-  readonly placer: TargetSelector
+  readonly selector: TargetSelector
   readonly health: TargetHealth
-  readonly silence: StallDetector
+  readonly stallDetector: StallDetector
   readonly client: TargetClient
   readonly protocol: TargetProtocol
-  readonly allowanceOf: (service: string) => RetryBudget
+  readonly retryBudgetFor: (service: string) => RetryBudget
   readonly log: DecisionLog
   readonly metrics: RouterMetrics
-  /** Steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number
 }
 
-/** Sends calls to targets and their answers to callers. */
+/** Sends calls to targets, retries them and forwards the responses to callers. */
 export interface Dispatcher {
   dispatch(call: Call, res: ServerResponse): Promise<DispatchOutcome>
 }
 
-/** Whether the call goes on after a send. */
-enum Next {
-  Done = 'done',
-  OtherTarget = 'other-target',
-  /** As above; the retry allowance has been asked already. */
-  OtherTargetPaid = 'other-target-paid',
-}
-
 /** Creates a dispatcher. */
 export function createDispatcher(options: DispatcherOptions): Dispatcher {
-  const patience = createHeaderTimeout()
-  const { load, placer, health, silence, client, log, metrics, now } = options
+  const headerTimeout = createHeaderTimeout()
+  const { load, selector, health, stallDetector, client, log, metrics, now } =
+    options
 
-  function patienceMs(
+  function headerTimeoutMs(
     call: Call,
     progress: CallProgress,
     sentAtMs: number,
@@ -81,20 +75,20 @@
     const remainingMs = call.dueAtMs - sentAtMs
     if (!canRetryAfterTimeout(call, progress)) return remainingMs
     const { name, targetLatencyMs } = call.route
-    return Math.min(remainingMs, patience.timeoutMs(name, targetLatencyMs))
+    return Math.min(remainingMs, headerTimeout.timeoutMs(name, targetLatencyMs))
   }
 
-  function failed(
+  function handleFailure(
     call: Call,
     target: Target,
     progress: CallProgress,
     failure: TargetFailure,
-  ): Next {
-    const advice = classifyFailure(failure.cause)
-    if (advice.countsAgainstHealth)
+  ): NextStep {
+    const handling = classifyFailure(failure.cause)
+    if (handling.countsAgainstHealth)
       health.record(target, TargetOutcome.Failure, now())
-    if (advice.avoidMs > 0) health.avoid(target.id, advice.avoidMs, now())
-    if (advice.discardsConnections) client.discardConnections(target)
+    if (handling.avoidMs > 0) health.avoid(target.id, handling.avoidMs, now())
+    if (handling.discardsConnections) client.discardConnections(target)
     progress.verdict = combineVerdicts(progress.verdict, failure.verdict)
     progress.lastCause = failure.cause
     if (failure.verdict !== Verdict.NotRun) progress.possibleRuns += 1
@@ -106,50 +100,50 @@
       cause: failure.cause,
       reason: failure.message,
     })
-    if (failure.cause === TargetFailureCause.Aborted) return Next.Done
-    if (failure.verdict === Verdict.NotRun) return Next.OtherTarget
-    return canRetry(call, progress) ? Next.OtherTarget : Next.Done
+    if (failure.cause === TargetFailureCause.Aborted) return NextStep.Done
+    if (failure.verdict === Verdict.NotRun) return NextStep.Retry
+    return canRetry(call, progress) ? NextStep.Retry : NextStep.Done
   }
 
-  // A failure that the target reports itself is passed on where it may not run again.
-  function isWorthAnother(
+  // A server error of the target is forwarded unless the call can be retried elsewhere.
+  function shouldRetryServerError(
     call: Call,
     progress: CallProgress,
     { head }: TargetResponse,
   ): boolean {
-    if (head.status < SERVER_ERROR_FROM || progress.relay.headersSent)
+    if (head.status < MIN_SERVER_ERROR_STATUS || progress.relay.headersSent)
       return false
     if (!canRetry(call, progress)) return false
-    return placer.select(call, progress.triedTargets) !== undefined
+    return selector.select(call, progress.triedTargets) !== undefined
   }
 
-  async function answered(
+  async function handleResponse(
     call: Call,
     target: Target,
     progress: CallProgress,
-    answer: TargetResponse,
-  ): Promise<Next> {
-    const { status } = answer.head
+    response: TargetResponse,
+  ): Promise<NextStep> {
+    const { status } = response.head
     progress.possibleRuns += 1
     progress.verdict = Verdict.Ran
-    const isError = status >= SERVER_ERROR_FROM
+    const isError = status >= MIN_SERVER_ERROR_STATUS
     const outcome = isError ? TargetOutcome.Failure : TargetOutcome.Success
     health.record(target, outcome, now())
     if (
-      isWorthAnother(call, progress, answer) &&
-      options.allowanceOf(call.service).tryAcquire(now())
+      shouldRetryServerError(call, progress, response) &&
+      options.retryBudgetFor(call.service).tryAcquire(now())
     ) {
-      answer.res.resume()
+      response.res.resume()
       metrics.recordResend(call.service, `status-${status}`)
-      return Next.OtherTargetPaid
+      return NextStep.RetryCharged
     }
-    const end = progress.relay.accepts(answer)
-      ? await progress.relay.forward(answer, () => {
-          silence.recordActivity(target.id, now())
+    const relayOutcome = progress.relay.accepts(response)
+      ? await progress.relay.forward(response, () => {
+          stallDetector.recordActivity(target.id, now())
         })
       : RelayOutcome.Broken
-    if (end !== RelayOutcome.Broken) return Next.Done
-    answer.res.destroy()
+    if (relayOutcome !== RelayOutcome.Broken) return NextStep.Done
+    response.res.destroy()
     health.record(target, TargetOutcome.Failure, now())
     progress.lastCause = TargetFailureCause.Broken
     log.write(LogEvent.RequestSent, {
@@ -157,32 +151,32 @@
       target: target.id,
       send: progress.sends,
       cause: TargetFailureCause.Broken,
-      reason: 'the answer broke off',
+      reason: 'truncated response',
       lastEvent: progress.relay.lastEventId,
     })
-    return canRetry(call, progress) ? Next.OtherTarget : Next.Done
+    return canRetry(call, progress) ? NextStep.Retry : NextStep.Done
   }
 
-  async function attempt(
+  async function sendTo(
     call: Call,
     target: Target,
     progress: CallProgress,
-  ): Promise<Next> {
+  ): Promise<NextStep> {
     progress.triedTargets.add(target.id)
     progress.sends += 1
     const { customer, route, signal } = call
     const lastEventId = progress.relay.lastEventId
     const sentAtMs = now()
-    const fetchFrom = placer.findCacheSource(call, target)
-    const unreadTokens = placer.pendingPromptTokens(call, target)
-    load.recordStart(target.id, unreadTokens)
-    placer.recordSent(call, target)
-    silence.recordSent(target.id, sentAtMs)
+    const fetchFrom = selector.findCacheSource(call, target)
+    const promptTokens = selector.pendingPromptTokens(call, target)
+    load.recordStart(target.id, promptTokens)
+    selector.recordSent(call, target)
+    stallDetector.recordSent(target.id, sentAtMs)
     try {
       const result = await client.send({
         call,
         signal,
-        headerTimeoutMs: patienceMs(call, progress, sentAtMs),
+        headerTimeoutMs: headerTimeoutMs(call, progress, sentAtMs),
         options: {
           target,
           bodyBytes: call.body.length,
@@ -195,20 +189,20 @@
           ...(lastEventId !== undefined && { lastEventId }),
         },
       })
-      load.releasePromptTokens(target.id, unreadTokens)
+      load.releasePromptTokens(target.id, promptTokens)
       if (result.isErr()) {
         if (result.error.verdict === Verdict.NotRun)
-          placer.recordNotRun(call, target)
-        return failed(call, target, progress, result.error)
+          selector.recordNotRun(call, target)
+        return handleFailure(call, target, progress, result.error)
       }
       const headMs = now() - sentAtMs
-      patience.recordHeaderTime(route.name, headMs)
+      headerTimeout.recordHeaderTime(route.name, headMs)
       metrics.recordResponseHead(call.service, headMs / MS_PER_S)
-      silence.recordActivity(target.id, now())
-      return await answered(call, target, progress, result.value)
+      stallDetector.recordActivity(target.id, now())
+      return await handleResponse(call, target, progress, result.value)
     } finally {
       load.recordEnd(target.id)
-      silence.recordEnd(target.id)
+      stallDetector.recordEnd(target.id)
     }
   }
 
@@ -218,22 +212,22 @@
   ): Promise<DispatchOutcome> {
     const relay = createResponseRelay(call, res, options.protocol)
     const progress = createCallProgress(relay)
-    const allowance = options.allowanceOf(call.service)
-    allowance.recordRequest(now())
+    const retryBudget = options.retryBudgetFor(call.service)
+    retryBudget.recordRequest(now())
 
-    function mayResend(): boolean {
-      if (!allowance.tryAcquire(now())) return false
+    function tryChargeRetry(): boolean {
+      if (!retryBudget.tryAcquire(now())) return false
       metrics.recordResend(call.service, progress.lastCause ?? 'unknown')
       return true
     }
 
     while (progress.sends < MAX_SENDS && !call.signal.aborted) {
       if (call.dueAtMs - now() < MIN_REMAINING_MS) break
-      const target = placer.select(call, progress.triedTargets)
+      const target = selector.select(call, progress.triedTargets)
       if (!target) break
-      const next = await attempt(call, target, progress)
-      if (next === Next.Done) break
-      if (next === Next.OtherTarget && !mayResend()) break
+      const next = await sendTo(call, target, progress)
+      if (next === NextStep.Done) break
+      if (next === NextStep.Retry && !tryChargeRetry()) break
     }
     const { sends } = progress
     const target = [...progress.triedTargets].at(-1)
--- a/packages/router/src/node/callers/createResponseRelay.ts
+++ b/packages/router/src/node/callers/createResponseRelay.ts
@@ -20,11 +20,11 @@
   /** Whether the response of another target may still replace or continue a truncated one. */
   readonly canReplace: boolean
   /** Whether the response can follow what was already sent to the caller. */
-  accepts(answer: TargetResponse): boolean
+  accepts(response: TargetResponse): boolean
   /** Id of the last complete event that was forwarded. */
   readonly lastEventId: string | undefined
   /** Forwards a response; an interrupted stream continues after its last event. */
-  forward(answer: TargetResponse, onChunk: () => void): Promise<RelayOutcome>
+  forward(response: TargetResponse, onChunk: () => void): Promise<RelayOutcome>
 }
 
 /** Creates the response relay of one call. */
@@ -45,38 +45,38 @@
 
   /** Buffers the body until it is complete or exceeds {@link MAX_BUFFERED_BYTES}. */
   async function forwardPlain(
-    answer: TargetResponse,
+    response: TargetResponse,
     onChunk: () => void,
   ): Promise<RelayOutcome> {
     let buffered: Buffer[] = []
     let bufferedBytes = 0
-    const outcome = await relayBody(answer.res, res, signal, (chunk) => {
+    const outcome = await relayBody(response.res, res, signal, (chunk) => {
       onChunk()
       if (headersSent) return chunk
       buffered.push(chunk)
       bufferedBytes += chunk.length
       if (bufferedBytes <= MAX_BUFFERED_BYTES) return undefined
-      sendHeaders(answer)
+      sendHeaders(response)
       const start = Buffer.concat(buffered)
       buffered = []
       return start
     })
     if (outcome !== RelayOutcome.Complete) return outcome
-    if (!headersSent) sendHeaders(answer)
+    if (!headersSent) sendHeaders(response)
     res.end(Buffer.concat(buffered))
     return RelayOutcome.Complete
   }
 
   async function forwardStream(
-    answer: TargetResponse,
+    response: TargetResponse,
     onChunk: () => void,
   ): Promise<RelayOutcome> {
     if (!headersSent) {
-      sendHeaders(answer)
+      sendHeaders(response)
       res.flushHeaders()
     }
     splitter.reset()
-    const outcome = await relayBody(answer.res, res, signal, (chunk) => {
+    const outcome = await relayBody(response.res, res, signal, (chunk) => {
       onChunk()
       const completeEvents = splitter.push(chunk)
       return route.resumable ? completeEvents : chunk
@@ -99,10 +99,10 @@
       return !headersSent || (isStream && route.resumable)
     },
     accepts: ({ head }) => !headersSent || head.status === RESUMED_STATUS,
-    forward: (answer, onChunk) =>
-      isStream && isSuccess(answer)
-        ? forwardStream(answer, onChunk)
-        : forwardPlain(answer, onChunk),
+    forward: (response, onChunk) =>
+      isStream && isSuccess(response)
+        ? forwardStream(response, onChunk)
+        : forwardPlain(response, onChunk),
   }
 }
 
--- a/packages/router/src/node/configuration/followConfigurations.ts
+++ b/packages/router/src/node/configuration/followConfigurations.ts
@@ -26,28 +26,22 @@
 export function followConfigurations(
   options: FollowConfigurationsOptions,
 ): SourceFollower {
-  const {
-    source,
-    hasFreshReader: hasFreshReader: isCovered,
-    applyIfNewer: offer,
-    now,
-    log,
-  } = options
-  const lines = createSourceLogger(log, 'configurations')
+  const { source, hasFreshReader, applyIfNewer, now, log } = options
+  const sourceLogger = createSourceLogger(log, 'configurations')
   return createSourceFollower({
     source,
     // A poll waits at the source until there is a change.
     pollIntervalMs: 0,
     now,
-    hasFreshReader: isCovered,
+    hasFreshReader,
     onListing: (values) => {
       for (const configuration of values.values())
-        offer(configuration, 'listing')
+        applyIfNewer(configuration, 'listing')
     },
     onEntry: ({ value }) => {
-      if (value) offer(value, 'log')
+      if (value) applyIfNewer(value, 'log')
     },
-    onUnavailable: lines.logUnavailable,
-    onRecovered: lines.logRecovered,
+    onUnavailable: sourceLogger.logUnavailable,
+    onRecovered: sourceLogger.logRecovered,
   })
 }
--- a/packages/router/src/node/createRouter.ts
+++ b/packages/router/src/node/createRouter.ts
@@ -29,17 +29,17 @@
 import { followTargets } from './targets/followTargets.js'
 import { createTargetList } from './targets/createTargetList.js'
 
-/** Bytes that tell one start of a router from another. */
+/** Length of the random id of one run of a router, in bytes. */
 const INCARNATION_BYTES = 4
 
 /** A running router. */
 export interface Router {
-  /** Where callers connect, as host:port. */
+  /** Address for callers, as host:port. */
   readonly address: string
   readonly ready: boolean
-  /** Takes in changed settings; addresses stay as they were at the start. */
+  /** Applies changed settings, except for addresses. */
   reload(settings: RouterSettings): void
-  /** Stops gracefully; resolves once every request has ended or the grace period has. */
+  /** Stops gracefully; resolves once all requests have ended or the grace period is over. */
   stop(): Promise<void>
 }
 
@@ -53,25 +53,28 @@
   let stopping = false
   const now = (): number => performance.now()
   const incarnation = randomBytes(INCARNATION_BYTES).toString('hex')
-  // The parts that tell peers are made before the part for peers.
+  // Set below: parts that broadcast to peers are created before the peers.
   const peers: { current?: Peers } = {}
-  const keeper = createConfigurationStore()
-  const view = createTargetList(constants.REJOIN_WINDOW_MS)
+  const configurationStore = createConfigurationStore()
+  const targetList = createTargetList(constants.REJOIN_WINDOW_MS)
   const load = createFleetLoad(() => {
     const rounds = Math.ceil(
       (peers.current?.routerCount() ?? 1) / constants.DIGEST_FANOUT,
     )
     return constants.MAX_LOST_DIGESTS * constants.DIGEST_INTERVAL_MS * rounds
   })
-  const silence = createStallDetector(constants.STALL_TIMEOUT_MS)
-  const placements = createCacheLocations(constants.MAX_CACHE_LOCATIONS)
+  const stallDetector = createStallDetector(constants.STALL_TIMEOUT_MS)
+  const cacheLocations = createCacheLocations(constants.MAX_CACHE_LOCATIONS)
   const metrics = createRouterMetrics()
   const health = createTargetHealth(HEALTH_OPTIONS, (target, change) => {
     log.write(LogEvent.TargetHealth, { target: target.id, change })
   })
 
-  function offer(configuration: RouterConfiguration, from: string): void {
-    if (!keeper.applyIfNewer(configuration)) return
+  function applyConfiguration(
+    configuration: RouterConfiguration,
+    from: string,
+  ): void {
+    if (!configurationStore.applyIfNewer(configuration)) return
     peers.current?.broadcast()
     const { version, routes } = configuration
     log.write(LogEvent.ConfigurationInForce, {
@@ -84,13 +87,13 @@
   const configurations = followConfigurations({
     source: ports.configurations,
     hasFreshReader: () => peers.current?.hasFreshConfigurationReader() ?? false,
-    applyIfNewer: offer,
+    applyIfNewer: applyConfiguration,
     now,
     log,
   })
   const targets = followTargets({
     source: ports.targets,
-    targetList: view,
+    targetList,
     pollIntervalMs: settings.bounds.drainMs / constants.POLLS_PER_DRAIN,
     lastFleetOutageAtMs: () => peers.current?.lastFleetOutageAtMs() ?? now(),
     hasFreshReader: () => peers.current?.hasFreshTargetReader() ?? false,
@@ -100,38 +103,38 @@
     now,
     log,
   })
-  const knowledge = createRouterState({
-    activeConfiguration: keeper,
-    targetList: view,
+  const state = createRouterState({
+    activeConfiguration: configurationStore,
+    targetList,
     targets,
     configurationPollAgeMs: () => configurations.lastPollAgeMs(),
-    applyConfiguration: offer,
+    applyConfiguration,
   })
   peers.current = await createPeers({
     settings,
     bounds: () => settings.bounds,
     incarnation,
-    state: knowledge,
+    state,
     load,
-    cacheLocations: placements,
+    cacheLocations,
     directory: ports.directory,
     isStopping: () => stopping,
     log,
     now,
   })
 
-  const pauses = createPauseDetector({
+  const pauseDetector = createPauseDetector({
     maxGapMs: constants.EVENT_LOOP_PAUSE_MS,
     now,
     epochNow: Date.now,
   })
-  const watching = setInterval(() => {
-    if (!pauses.check()) return
-    log.write(LogEvent.Paused, { version: keeper.version })
+  const pauseTimer = setInterval(() => {
+    if (!pauseDetector.check()) return
+    log.write(LogEvent.Paused, { version: configurationStore.version })
     targets.invalidate()
   }, constants.DIGEST_INTERVAL_MS)
 
-  const allowanceOf = createRetryBudgets({
+  const retryBudgetFor = createRetryBudgets({
     bounds: () => ({
       ratio: settings.bounds.retryRatio,
       allowance: settings.bounds.retryAllowance,
@@ -148,28 +151,29 @@
   })
   const callers = await createCallerServer({
     address: settings.listen.callers,
-    configurations: keeper,
+    configurations: configurationStore,
     protocol: ports.callerProtocol,
     dispatcher: createDispatcher({
       load,
-      placer: createTargetSelector({
-        targetList: view,
+      selector: createTargetSelector({
+        targetList,
         load,
-        cacheLocations: placements,
+        cacheLocations,
         health,
-        stallDetector: silence,
+        stallDetector,
         sharesCache: (service) =>
-          keeper.current?.services.get(service)?.sharesCache ?? false,
+          configurationStore.current?.services.get(service)?.sharesCache ??
+          false,
         onNewPrompt: () => {
           peers.current?.scheduleBroadcast()
         },
         now,
       }),
       health,
-      silence,
+      stallDetector,
       client,
       protocol: ports.targetProtocol,
-      allowanceOf,
+      retryBudgetFor,
       log,
       metrics,
       now,
@@ -181,7 +185,7 @@
   })
 
   const isReady = (): boolean =>
-    !stopping && keeper.current !== undefined && targets.isLoaded()
+    !stopping && configurationStore.current !== undefined && targets.isLoaded()
   const readiness = await createReadinessServer(
     settings.listen.readiness,
     isReady,
@@ -195,7 +199,7 @@
     incarnation,
   })
 
-  async function waitForAnswers(untilMs: number): Promise<void> {
+  async function waitForRequests(untilMs: number): Promise<void> {
     while (callers.inFlight > 0 && now() < untilMs)
       await sleep(constants.STOP_CHECK_MS)
   }
@@ -207,13 +211,13 @@
     callers.closeAfterResponses()
     peers.current?.broadcast()
     const gracePeriodMs = settings.bounds.gracePeriodS * 1_000
-    const lastMs = startedAtMs + gracePeriodMs - constants.STOP_MARGIN_MS
+    const endMs = startedAtMs + gracePeriodMs - constants.STOP_MARGIN_MS
     await sleep(Math.min(constants.LOAD_BALANCER_DELAY_MS, gracePeriodMs / 2))
     callers.stopAccepting()
-    await waitForAnswers(lastMs)
+    await waitForRequests(endMs)
     log.write(LogEvent.Stopped, { brokenOff: callers.inFlight })
     callers.close()
-    clearInterval(watching)
+    clearInterval(pauseTimer)
     configurations.stop()
     targets.stop()
     peers.current?.close()
