--- a/packages/http-utils/src/node/connectionPool.ts
+++ b/packages/http-utils/src/node/connectionPool.ts
@@ -13,7 +13,10 @@
   this.destroy()
 }
 
-/** HTTP agent that keeps connections to targets alive and can retire them by address. */
+/**
+ * HTTP agent that keeps connections to targets alive, with one request at a time on
+ * each, and can retire them by address.
+ */
 export class ConnectionPool extends Agent {
   private openedCount = 0
   private readonly origins = new WeakMap<Duplex, ConnectionOrigin>()
--- a/packages/http-utils/src/node/hopByHop.ts
+++ b/packages/http-utils/src/node/hopByHop.ts
@@ -1,4 +1,4 @@
-/** Hop-by-hop headers, which must not be forwarded. */
+/** Hop-by-hop headers, which apply to one connection and must not be forwarded. */
 export const HOP_BY_HOP: readonly string[] = [
   'connection',
   'keep-alive',
--- a/packages/http-utils/src/node/readBody.ts
+++ b/packages/http-utils/src/node/readBody.ts
@@ -7,7 +7,7 @@
   Aborted = 'aborted',
 }
 
-/** Reads a whole body of at most `maxBytes`. */
+/** Reads a complete body of at most `maxBytes`. */
 export async function readBody(
   stream: IncomingMessage,
   maxBytes: number,
--- a/packages/router/src/node/callers/__tests__/createEventSplitter.test.ts
+++ b/packages/router/src/node/callers/__tests__/createEventSplitter.test.ts
@@ -6,7 +6,7 @@
 const eventsOf = (count: number): string =>
   Array.from(
     { length: count },
-    (_, i) => `id: ${i}\ndata: piece ${i}\n\n`,
+    (_, i) => `id: ${i}\ndata: chunk ${i}\n\n`,
   ).join('')
 
 describe('createEventSplitter', () => {
@@ -19,7 +19,7 @@
         (count, cuts, tail) => {
           const complete = eventsOf(count)
           const stream = Buffer.from(
-            complete + 'id: 99\ndata: torn piece'.slice(0, tail),
+            complete + 'id: 99\ndata: partial chunk'.slice(0, tail),
           )
           const offsets = [...cuts, stream.length].sort((a, b) => a - b)
           const splitter = createEventSplitter()
--- a/packages/router/src/node/callers/admitRequest.ts
+++ b/packages/router/src/node/callers/admitRequest.ts
@@ -8,7 +8,7 @@
 import type { CallerRequest } from './callerRequest.js'
 import { failures } from './failures.js'
 
-/** An admitted request before its body, deadline and signal are known. */
+/** An admitted request, without the body, deadline and signal of the call. */
 export type AdmittedRequest = Omit<Call, 'body' | 'signal' | 'dueAtMs'>
 
 function pathOf(url: string): string {
@@ -28,7 +28,7 @@
   return services.at(-1)?.service ?? ''
 }
 
-/** Resolves route, customer and service of a request; the failure says why it is refused. */
+/** Resolves the route, customer and service of a request, or the failure to refuse it with. */
 export function admitRequest(
   req: IncomingMessage,
   request: CallerRequest,
--- a/packages/router/src/node/metrics/createRouterMetrics.ts
+++ b/packages/router/src/node/metrics/createRouterMetrics.ts
@@ -27,7 +27,7 @@
     buckets: LATENCY_BUCKETS_S,
     registers,
   })
-  const heads = new Histogram({
+  const responseHeads = new Histogram({
     name: 'auburnbay_target_head_seconds',
     help: 'Time from a send to the head of the answer.',
     labelNames: ['service'],
@@ -40,7 +40,7 @@
       durations.observe({ route }, seconds)
     },
     recordResponseHead(service, seconds) {
-      heads.observe({ service }, seconds)
+      responseHeads.observe({ service }, seconds)
     },
     recordResend(service, cause) {
       resends.inc({ service, cause })
