--- a/packages/router/src/node/callers/callProgress.ts
+++ b/packages/router/src/node/callers/callProgress.ts
@@ -3,66 +3,69 @@
 import { RequestKind } from '../configuration/requestKind.js'
 import { TargetFailureCause } from '../targets/targetFailure.js'
 import type { Call } from './call.js'
-import type { AnswerRelay } from './createAnswerRelay.js'
+import type { ResponseRelay } from './createResponseRelay.js'
 import { failures } from './failures.js'
 
-/** Least time that is worth a send, in milliseconds. */
+/** Minimum time before the deadline for a send to be worthwhile, in milliseconds. */
 export const MIN_REMAINING_MS = 5
 
-/** What the sends of one call have come to. */
+/** State of one call across its sends to targets. */
 export interface CallProgress {
-  readonly relay: AnswerRelay
-  readonly tried: Set<string>
-  /** Sends that may have run. */
-  runs: number
+  readonly relay: ResponseRelay
+  readonly triedTargets: Set<string>
+  /** Sends that a target ran or may have run. */
+  possibleRuns: number
   sends: number
   verdict: Verdict
   lastCause?: TargetFailureCause
 }
 
-/** Returns the progress of a call that was not sent yet. */
-export function createCallProgress(relay: AnswerRelay): CallProgress {
+/** Creates the progress of a call that has not been sent yet. */
+export function createCallProgress(relay: ResponseRelay): CallProgress {
   return {
     relay,
-    tried: new Set(),
-    runs: 0,
+    triedTargets: new Set(),
+    possibleRuns: 0,
     sends: 0,
     verdict: Verdict.NotRun,
   }
 }
 
-function isRepeatable({ route }: Call): boolean {
+function isRetryable({ route }: Call): boolean {
   return (
     route.kind === RequestKind.Idempotent ||
     (route.kind === RequestKind.Stream && route.resumable)
   )
 }
 
-/** Returns whether another target may run the call, though one may have. */
-export function mayRunAgain(
+/** Returns whether the call may be sent again although a target may have run it. */
+export function canRetry(
   call: Call,
-  { relay, runs }: CallProgress,
+  { relay, possibleRuns: runs }: CallProgress,
 ): boolean {
-  if (!relay.replaceable) return false
-  return isRepeatable(call) && runs < call.route.maxAttempts
+  if (!relay.canReplace) return false
+  return isRetryable(call) && runs < call.route.maxAttempts
 }
 
-/** Returns whether the call may be given to another target if the next one is silent. */
-export function maySendElsewhere(call: Call, { runs }: CallProgress): boolean {
-  return isRepeatable(call) && runs + 1 < call.route.maxAttempts
+/** Returns whether the call may be sent again if the next target does not respond in time. */
+export function canRetryAfterTimeout(
+  call: Call,
+  { possibleRuns: runs }: CallProgress,
+): boolean {
+  return isRetryable(call) && runs + 1 < call.route.maxAttempts
 }
 
-/** Returns what to tell the caller of a call that brought no answer. */
-export function failureOf(
+/** Returns the failure to report for a call that got no complete response. */
+export function resolveFailure(
   call: Call,
   progress: CallProgress,
   nowMs: number,
 ): RequestFailure {
   if (progress.verdict === Verdict.NotRun) {
-    if (call.dueAtMs - nowMs < MIN_REMAINING_MS) return failures.expiredUnsent
+    if (call.dueAtMs - nowMs < MIN_REMAINING_MS) return failures.deadlinePassed
     return progress.sends === 0 ? failures.noTarget : failures.targetsRefused
   }
-  const isLate =
+  const timedOut =
     call.signal.aborted || progress.lastCause === TargetFailureCause.Silent
-  return isLate ? failures.overdue : failures.targetFailed
+  return timedOut ? failures.targetTimeout : failures.targetFailed
 }
--- a/packages/router/src/node/callers/createCallerServer.ts
+++ b/packages/router/src/node/callers/createCallerServer.ts
@@ -3,117 +3,68 @@
   type IncomingMessage,
   type ServerResponse,
 } from 'node:http'
-import { hash32 } from '@auburnbay/core/hash/hash32'
 import { Verdict } from '@auburnbay/core/verdict/verdict'
 import type { RequestFailure } from '@auburnbay/core/verdict/requestFailure'
 import { listen, type ListenAddress } from '@auburnbay/http-utils/listen'
 import { BodyError, readBody } from '@auburnbay/http-utils/readBody'
-import { err, ok, type Result } from 'neverthrow'
-import type {
-  ConfigurationInForce,
-  ConfigurationStore,
-} from '../configuration/createConfigurationStore.js'
-import type { Route } from '../configuration/route.js'
+import { err } from 'neverthrow'
+import type { ConfigurationStore } from '../configuration/createConfigurationStore.js'
 import type { DecisionLog } from '../logging/decisionLog.js'
 import { LogEvent } from '../logging/logEvent.js'
 import type { RouterMetrics } from '../metrics/routerMetrics.js'
+import { type AdmittedRequest, admitRequest } from './admitRequest.js'
 import type { Call } from './call.js'
 import type { CallerProtocol } from './callerProtocol.js'
-import type { CallerRequest } from './callerRequest.js'
 import type { Dispatcher } from './createDispatcher.js'
 import { failures } from './failures.js'
 import { sendFailure } from './sendFailure.js'
 
-/** Bytes of headers that are read; a configuration's own bound lies below. */
+/** Maximum size of request headers in bytes, above the limit of any configuration. */
 const MAX_HEADER_BYTES = 64 * 1024
-/** Milliseconds until a request must be whole. */
+/** Time to receive a complete request, in milliseconds. */
 const REQUEST_TIMEOUT_MS = 30_000
-/** Milliseconds between two looks for connections that are too slow. */
-const SLOW_CHECK_MS = 1_000
-/** Milliseconds that a connection is kept beyond what callers are told. */
-const IDLE_MARGIN_MS = 1_000
-/** Bound on a body before a configuration tells another, in bytes. */
+/** Interval of the check for connections that exceed a timeout, in milliseconds. */
+const CONNECTION_CHECK_MS = 1_000
+/** Time that an idle connection is kept beyond the configured idle timeout, in milliseconds. */
+const KEEP_ALIVE_MARGIN_MS = 1_000
+/** Body limit until a configuration is loaded, in bytes. */
 const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 
-/** What the listener for callers works with. */
+/** Options for {@link createCallerServer}. */
 export interface CallerServerOptions {
   readonly address: ListenAddress
-  readonly keeper: ConfigurationStore
+  readonly configurations: ConfigurationStore
   readonly protocol: CallerProtocol
   readonly dispatcher: Dispatcher
   readonly log: DecisionLog
   readonly metrics: RouterMetrics
-  /** Milliseconds up to which the list of targets surely has all changes. */
+  /** Upper bound on the staleness of the target list, in milliseconds. */
   readonly targetsAgeMs: () => number
-  /** Steady clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly now: () => number
 }
 
-/** The listener for callers. */
+/** HTTP server for callers. */
 export interface CallerServer {
   readonly address: ListenAddress
-  /** Requests under way. */
+  /** Number of requests in flight. */
   readonly inFlight: number
-  /** From now on every answer ends its connection. */
-  closeAfterAnswers(): void
-  /** From now on connections are refused, idle ones closed and requests refused as not run. */
-  refuseNew(): void
-  /** Ends every connection. */
+  /** Makes every further response close its connection. */
+  closeAfterResponses(): void
+  /** Stops listening, closes idle connections and refuses further requests as not run. */
+  stopAccepting(): void
+  /** Closes every connection. */
   close(): void
 }
 
-type Admitted = Omit<Call, 'body' | 'signal' | 'dueAtMs'>
-
-function pathOf(url: string): string {
-  const query = url.indexOf('?')
-  return query < 0 ? url : url.slice(0, query)
-}
-
-/** Chooses a service by weight, the same for every look at one request. */
-function chooseService({ services }: Route, attemptId: string): string {
-  let total = 0
-  for (const { weight } of services) total += weight
-  let point = (hash32(attemptId) / 2 ** 32) * total
-  for (const { service, weight } of services) {
-    if (point < weight) return service
-    point -= weight
-  }
-  return services.at(-1)?.service ?? ''
-}
-
-function admit(
-  req: IncomingMessage,
-  request: CallerRequest,
-  inForce: ConfigurationInForce,
-): Result<Admitted, RequestFailure> {
-  const path = req.url ?? '/'
-  const route = inForce.routes.find(request.host, pathOf(path))
-  if (!route) return err(failures.noRoute)
-  const customer =
-    request.key === undefined
-      ? undefined
-      : inForce.customerOfKey?.get(request.key)
-  const needsKey = inForce.customerOfKey !== undefined && !route.anonymous
-  if (needsKey && !customer) return err(failures.wrongKey)
-  return ok({
-    request,
-    method: req.method ?? 'GET',
-    path,
-    rawHeaders: req.rawHeaders,
-    route,
-    service: chooseService(route, request.attemptId),
-    ...(customer && { customer }),
-  })
-}
-
-/** Starts listening for callers. */
+/** Starts listening for callers; rejects when the address is in use. */
 export async function createCallerServer(
   options: CallerServerOptions,
 ): Promise<CallerServer> {
-  const { keeper, protocol, dispatcher, log, metrics, now } = options
+  const { configurations, protocol, dispatcher, log, metrics, now } = options
   let inFlight = 0
-  let closing = false
-  let refusing = false
+  let closeConnections = false
+  let refuseRequests = false
 
   function refuse(
     res: ServerResponse,
@@ -125,26 +76,30 @@
       status: failure.status,
       code: failure.code,
       verdict: failure.verdict,
-      version: keeper.version,
+      version: configurations.version,
     })
     sendFailure(res, failure)
   }
 
-  async function run(admitted: Admitted, body: Buffer, res: ServerResponse) {
+  async function forward(
+    admitted: AdmittedRequest,
+    body: Buffer,
+    res: ServerResponse,
+  ) {
     const { request, route } = admitted
     const startedAtMs = now()
     const limitMs = Math.min(route.timeoutMs, request.deadlineMs ?? Infinity)
-    const over = new AbortController()
+    const aborter = new AbortController()
     const timer = setTimeout(() => {
-      over.abort()
+      aborter.abort()
     }, limitMs)
     res.once('close', () => {
-      over.abort()
+      aborter.abort()
     })
     const call: Call = {
       ...admitted,
       body,
-      signal: over.signal,
+      signal: aborter.signal,
       dueAtMs: startedAtMs + limitMs,
     }
     const outcome = await dispatcher.dispatch(call, res)
@@ -154,13 +109,17 @@
     if (failure && !callerGone) sendFailure(res, failure)
     const status = failure?.status ?? res.statusCode
     const elapsedMs = now() - startedAtMs
-    metrics.answered(route.name, callerGone ? 0 : status, elapsedMs / 1_000)
+    metrics.recordRequest(
+      route.name,
+      callerGone ? 0 : status,
+      elapsedMs / 1_000,
+    )
     log.write(LogEvent.RequestEnded, {
       request: request.attemptId,
       route: route.name,
       service: admitted.service,
       customer: admitted.customer?.name,
-      version: keeper.version,
+      version: configurations.version,
       targetsAgeMs: Math.round(options.targetsAgeMs()),
       target,
       sends,
@@ -172,12 +131,12 @@
     })
   }
 
-  async function serve(
+  async function handleRequest(
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
     const request = protocol.decodeRequest(req)
-    const limits = keeper.current?.configuration.limits
+    const limits = configurations.current?.configuration.limits
     const maxBytes = limits?.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES
     const body = await readBody(req, maxBytes)
     if (body.isErr()) {
@@ -186,12 +145,12 @@
       refuse(res, request.attemptId, failures.bodyTooLarge)
       return
     }
-    if (closing) res.shouldKeepAlive = false
-    const inForce = keeper.current
-    const admitted = inForce
-      ? admit(req, request, inForce)
+    if (closeConnections) res.shouldKeepAlive = false
+    const active = configurations.current
+    const admitted = active
+      ? admitRequest(req, request, active)
       : err(failures.starting)
-    if (refusing) {
+    if (refuseRequests) {
       refuse(res, request.attemptId, failures.stopping)
       return
     }
@@ -199,26 +158,26 @@
       refuse(res, request.attemptId, admitted.error)
       return
     }
-    await run(admitted.value, body.value, res)
+    await forward(admitted.value, body.value, res)
   }
 
   const server = createServer(
     {
       maxHeaderSize: MAX_HEADER_BYTES,
       requestTimeout: REQUEST_TIMEOUT_MS,
-      connectionsCheckingInterval: SLOW_CHECK_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_MS,
     },
     (req, res) => {
-      const limits = keeper.current?.configuration.limits
+      const limits = configurations.current?.configuration.limits
       if (limits) {
-        server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS
+        server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS
         server.headersTimeout = limits.headerTimeoutMs
       }
       inFlight += 1
       res.once('close', () => {
         inFlight -= 1
       })
-      serve(req, res).catch((error: unknown) => {
+      handleRequest(req, res).catch((error: unknown) => {
         log.write(LogEvent.RequestEnded, {
           reason: error instanceof Error ? error.stack : String(error),
         })
@@ -233,11 +192,11 @@
     get inFlight() {
       return inFlight
     },
-    closeAfterAnswers() {
-      closing = true
+    closeAfterResponses() {
+      closeConnections = true
     },
-    refuseNew() {
-      refusing = true
+    stopAccepting() {
+      refuseRequests = true
       server.close()
       server.closeIdleConnections()
     },
--- /dev/null
+++ b/packages/router/src/node/callers/createResponseRelay.ts
@@ -0,0 +1,111 @@
+import type { ServerResponse } from 'node:http'
+import type { TargetResponse } from '../targets/createTargetClient.js'
+import type { TargetProtocol } from '../targets/targetProtocol.js'
+import type { Call } from './call.js'
+import { createEventSplitter } from './createEventSplitter.js'
+import { relayBody } from './relayBody.js'
+import { RelayOutcome } from './relayOutcome.js'
+import { RequestKind } from '../configuration/requestKind.js'
+
+/** Response bytes that are buffered so that a truncated response can be replaced. */
+const MAX_BUFFERED_BYTES = 256 * 1024
+
+/** Status of a response that continues an interrupted stream. */
+const RESUMED_STATUS = 200
+
+/** Forwards the responses of targets to the caller of one call. */
+export interface ResponseRelay {
+  /** Whether response headers were sent to the caller. */
+  readonly headersSent: boolean
+  /** Whether the response of another target may still replace or continue a truncated one. */
+  readonly canReplace: boolean
+  /** Whether the response can follow what was already sent to the caller. */
+  accepts(response: TargetResponse): boolean
+  /** Id of the last complete event that was forwarded. */
+  readonly lastEventId: string | undefined
+  /** Forwards a response; an interrupted stream continues after its last event. */
+  forward(response: TargetResponse, onChunk: () => void): Promise<RelayOutcome>
+}
+
+/** Creates the response relay of one call. */
+export function createResponseRelay(
+  call: Call,
+  res: ServerResponse,
+  protocol: TargetProtocol,
+): ResponseRelay {
+  const { route, signal } = call
+  const isStream = route.kind === RequestKind.Stream
+  const splitter = createEventSplitter()
+  let headersSent = false
+
+  function sendHeaders({ head, res: from }: TargetResponse): void {
+    headersSent = true
+    res.writeHead(head.status, protocol.responseHeaders(from.rawHeaders))
+  }
+
+  /** Buffers the body until it is complete or exceeds {@link MAX_BUFFERED_BYTES}. */
+  async function forwardPlain(
+    response: TargetResponse,
+    onChunk: () => void,
+  ): Promise<RelayOutcome> {
+    let buffered: Buffer[] = []
+    let bufferedBytes = 0
+    const outcome = await relayBody(response.res, res, signal, (chunk) => {
+      onChunk()
+      if (headersSent) return chunk
+      buffered.push(chunk)
+      bufferedBytes += chunk.length
+      if (bufferedBytes <= MAX_BUFFERED_BYTES) return undefined
+      sendHeaders(response)
+      const start = Buffer.concat(buffered)
+      buffered = []
+      return start
+    })
+    if (outcome !== RelayOutcome.Complete) return outcome
+    if (!headersSent) sendHeaders(response)
+    res.end(Buffer.concat(buffered))
+    return RelayOutcome.Complete
+  }
+
+  async function forwardStream(
+    response: TargetResponse,
+    onChunk: () => void,
+  ): Promise<RelayOutcome> {
+    if (!headersSent) {
+      sendHeaders(response)
+      res.flushHeaders()
+    }
+    splitter.reset()
+    const outcome = await relayBody(response.res, res, signal, (chunk) => {
+      onChunk()
+      const completeEvents = splitter.push(chunk)
+      return route.resumable ? completeEvents : chunk
+    })
+    if (outcome !== RelayOutcome.Complete) return outcome
+    // Without a length, a truncated body looks like a complete one.
+    if (!splitter.atEventBoundary) return RelayOutcome.Broken
+    res.end()
+    return RelayOutcome.Complete
+  }
+
+  return {
+    get headersSent() {
+      return headersSent
+    },
+    get lastEventId() {
+      return splitter.lastEventId
+    },
+    get canReplace() {
+      return !headersSent || (isStream && route.resumable)
+    },
+    accepts: ({ head }) => !headersSent || head.status === RESUMED_STATUS,
+    forward: (response, onChunk) =>
+      isStream && isSuccess(response)
+        ? forwardStream(response, onChunk)
+        : forwardPlain(response, onChunk),
+  }
+}
+
+function isSuccess({ head }: TargetResponse): boolean {
+  return head.status < 300
+}
--- /dev/null
+++ b/packages/router/src/node/callers/relayOutcome.ts
@@ -0,0 +1,9 @@
+/** How forwarding a response body ended. */
+export enum RelayOutcome {
+  /** The whole body was forwarded. */
+  Complete = 'complete',
+  /** The response of the target was truncated. */
+  Broken = 'broken',
+  /** The caller disconnected or the deadline passed. */
+  Aborted = 'aborted',
+}
--- a/packages/router/src/node/configuration/createConfigurationStore.ts
+++ b/packages/router/src/node/configuration/createConfigurationStore.ts
@@ -3,21 +3,21 @@
 import type { RouterConfiguration } from './routerConfiguration.js'
 import type { Service } from './service.js'
 
-/** A configuration with its indexes. */
-export interface ConfigurationInForce {
+/** A configuration and its lookup tables. */
+export interface ActiveConfiguration {
   readonly configuration: RouterConfiguration
   readonly routes: RouteTable
   readonly services: ReadonlyMap<string, Service>
-  /** Undefined where requests need no key. */
-  readonly customerOfKey?: ReadonlyMap<string, Customer>
+  /** Undefined if requests need no key. */
+  readonly customersByKey?: ReadonlyMap<string, Customer>
 }
 
-/** Keeps the highest version that was offered. */
+/** Holds the configuration with the highest version so far. */
 export interface ConfigurationStore {
-  readonly current: ConfigurationInForce | undefined
-  /** 0 before the first. */
+  readonly current: ActiveConfiguration | undefined
+  /** Version of the active configuration; 0 without one. */
   readonly version: number
-  /** Puts a configuration in force if it is newer; returns whether it was. */
+  /** Activates a configuration if it is newer; returns whether it did. */
   applyIfNewer(configuration: RouterConfiguration): boolean
 }
 
@@ -30,9 +30,9 @@
   return byKey
 }
 
-/** Creates a keeper that knows no configuration. */
+/** Creates a store without a configuration. */
 export function createConfigurationStore(): ConfigurationStore {
-  let current: ConfigurationInForce | undefined
+  let current: ActiveConfiguration | undefined
 
   const version = (): number => current?.configuration.version ?? 0
 
@@ -50,7 +50,7 @@
         configuration,
         routes: createRouteTable(routes),
         services: new Map(services.map((service) => [service.name, service])),
-        ...(customers && { customerOfKey: indexCustomers(customers) }),
+        ...(customers && { customersByKey: indexCustomers(customers) }),
       }
       return true
     },
--- a/packages/router/src/node/metrics/createRouterMetrics.ts
+++ b/packages/router/src/node/metrics/createRouterMetrics.ts
@@ -1,10 +1,10 @@
 import { Counter, Histogram, Registry } from 'prom-client'
 import type { RouterMetrics } from './routerMetrics.js'
 
-/** Bounds of the latency buckets in seconds. */
+/** Upper bounds of the latency buckets, in seconds. */
 const LATENCY_BUCKETS_S = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 30]
 
-/** Creates metrics in a registry of their own. */
+/** Creates metrics in a separate registry. */
 export function createRouterMetrics(): RouterMetrics {
   const registry = new Registry()
   const registers = [registry]
@@ -27,7 +27,7 @@
     buckets: LATENCY_BUCKETS_S,
     registers,
   })
-  const heads = new Histogram({
+  const responseHeads = new Histogram({
     name: 'auburnbay_target_head_seconds',
     help: 'Time from a send to the head of the answer.',
     labelNames: ['service'],
@@ -35,14 +35,14 @@
     registers,
   })
   return {
-    answered(route, status, seconds) {
+    recordRequest(route, status, seconds) {
       requests.inc({ route, status })
       durations.observe({ route }, seconds)
     },
-    headSeen(service, seconds) {
-      heads.observe({ service }, seconds)
+    recordResponseHead(service, seconds) {
+      responseHeads.observe({ service }, seconds)
     },
-    resent(service, cause) {
+    recordResend(service, cause) {
       resends.inc({ service, cause })
     },
     render: () => registry.metrics(),
