--- a/packages/daemon/src/node/admission/__tests__/createServiceQueue.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/createServiceQueue.test.ts
@@ -5,11 +5,11 @@
 import { resolveSettings } from '../../settings/resolveSettings.js'
 import { createServiceQueue, type Release } from '../createServiceQueue.js'
 
-const PLACES = 40
+const CONCURRENCY = 40
 const RESERVED = 2
 const MAX_WAITING = 3
-const LATER_MS = 1_000_000
-const SOON_MS = 20
+const FAR_DEADLINE_MS = 1_000_000
+const NEAR_DEADLINE_MS = 20
 
 function queueSettings() {
   const listen = { host: '127.0.0.1', port: 0 }
@@ -20,19 +20,19 @@
     logService: { url: 'http://127.0.0.1:1' },
     vmList: { url: 'http://127.0.0.1:1' },
     secrets: { peer: secret, hint: secret, admin: secret },
-    queue: { maxWaiting: MAX_WAITING, urgentShare: RESERVED / PLACES },
+    queue: { maxWaiting: MAX_WAITING, urgentShare: RESERVED / CONCURRENCY },
   })
   return settings._unsafeUnwrap().queue
 }
 
 function setUp() {
   const queue = createServiceQueue(queueSettings(), () => 0)
-  queue.setConcurrency(PLACES)
+  queue.setConcurrency(CONCURRENCY)
   const releases: Release[] = []
   const failures: string[] = []
-  const gone = new AbortController()
+  const caller = new AbortController()
   let next = 0
-  const enter = async (rank: number, deadlineAtMs = LATER_MS) => {
+  const enqueue = async (rank: number, deadlineAtMs = FAR_DEADLINE_MS) => {
     next += 1
     const request = {
       id: String(next),
@@ -42,54 +42,54 @@
       enqueuedAtMs: 0,
       deadlineAtMs,
     }
-    const entered = await queue.enter(request, gone.signal)
-    if (entered.isOk()) releases.push(entered.value)
-    else failures.push(entered.error)
+    const queued = await queue.enqueue(request, caller.signal)
+    if (queued.isOk()) releases.push(queued.value)
+    else failures.push(queued.error)
   }
-  const enterMany = async (rank: number, count: number) => {
-    for (let index = 0; index < count; index += 1) void enter(rank)
+  const enqueueMany = async (rank: number, count: number) => {
+    for (let index = 0; index < count; index += 1) void enqueue(rank)
     await turn()
   }
   const release = async () => {
     releases.pop()?.()
     await turn()
   }
-  return { queue, failures, gone, enter, enterMany, release }
+  return { queue, failures, caller, enqueue, enqueueMany, release }
 }
 
 describe('createServiceQueue', () => {
-  it('keeps places free for rank 0', async () => {
-    const { queue, gone, enterMany, release } = setUp()
-    await enterMany(5, PLACES)
-    assert.equal(queue.running, PLACES - RESERVED)
+  it('reserves slots for rank 0', async () => {
+    const { queue, caller, enqueueMany, release } = setUp()
+    await enqueueMany(5, CONCURRENCY)
+    assert.equal(queue.running, CONCURRENCY - RESERVED)
     assert.equal(queue.waiting, RESERVED)
-    await enterMany(0, RESERVED)
-    assert.equal(queue.running, PLACES)
+    await enqueueMany(0, RESERVED)
+    assert.equal(queue.running, CONCURRENCY)
     assert.equal(queue.waiting, RESERVED)
     await release()
-    assert.equal(queue.running, PLACES - 1)
+    assert.equal(queue.running, CONCURRENCY - 1)
     await release()
     await release()
-    assert.equal(queue.running, PLACES - RESERVED)
+    assert.equal(queue.running, CONCURRENCY - RESERVED)
     assert.equal(queue.waiting, RESERVED - 1)
-    gone.abort()
+    caller.abort()
     await turn()
     assert.equal(queue.waiting, 0)
   })
 
-  it('starts waiting requests when it may run more', async () => {
-    const { queue, enterMany } = setUp()
-    await enterMany(5, PLACES)
-    queue.setConcurrency(PLACES * 2)
+  it('starts queued requests when the concurrency rises', async () => {
+    const { queue, enqueueMany } = setUp()
+    await enqueueMany(5, CONCURRENCY)
+    queue.setConcurrency(CONCURRENCY * 2)
     await turn()
-    assert.equal(queue.running, PLACES)
+    assert.equal(queue.running, CONCURRENCY)
     assert.equal(queue.waiting, 0)
   })
 
-  it('stands still while it is held back, more than once over', async () => {
-    const { queue, enterMany } = setUp()
-    const resume = [queue.holdBack(), queue.holdBack()]
-    await enterMany(0, 1)
+  it('starts nothing until every pause has ended', async () => {
+    const { queue, enqueueMany } = setUp()
+    const resume = [queue.pause(), queue.pause()]
+    await enqueueMany(0, 1)
     resume[0]?.()
     await turn()
     assert.equal(queue.running, 0)
@@ -98,39 +98,39 @@
     assert.equal(queue.running, 1)
   })
 
-  it('tells a request at once that it is shed', async () => {
-    const { queue, failures, gone, enterMany } = setUp()
-    await enterMany(5, PLACES - RESERVED + MAX_WAITING)
+  it('rejects a shed request at once', async () => {
+    const { queue, failures, caller, enqueueMany } = setUp()
+    await enqueueMany(5, CONCURRENCY - RESERVED + MAX_WAITING)
     assert.deepEqual(failures, [])
-    await enterMany(9, 1)
+    await enqueueMany(9, 1)
     assert.deepEqual(failures, ['shed'])
-    await enterMany(4, 1)
+    await enqueueMany(4, 1)
     assert.deepEqual(failures, ['shed', 'shed'])
     assert.equal(queue.waiting, MAX_WAITING)
-    gone.abort()
+    caller.abort()
     await turn()
   })
 
-  it('tells a passed deadline from a caller that went away', async () => {
+  it('distinguishes a passed deadline from a disconnected caller', async () => {
     for (const [reason, expected] of [
       [new DeadlinePassed(), 'expired'],
       [undefined, 'caller-gone'],
     ] as const) {
-      const { failures, gone, enterMany } = setUp()
-      await enterMany(5, PLACES - RESERVED + 1)
-      gone.abort(reason)
+      const { failures, caller, enqueueMany } = setUp()
+      await enqueueMany(5, CONCURRENCY - RESERVED + 1)
+      caller.abort(reason)
       await turn()
       assert.deepEqual(failures, [expected])
     }
   })
 
-  it('gives up a request whose longest wait is over', async () => {
-    const { queue, failures, gone, enter, enterMany } = setUp()
-    await enterMany(5, PLACES - RESERVED + 1)
-    await enter(5, SOON_MS)
+  it('rejects a request whose deadline passes in the queue', async () => {
+    const { queue, failures, caller, enqueue, enqueueMany } = setUp()
+    await enqueueMany(5, CONCURRENCY - RESERVED + 1)
+    await enqueue(5, NEAR_DEADLINE_MS)
     assert.deepEqual(failures, ['expired'])
     assert.equal(queue.waiting, 1)
-    gone.abort()
+    caller.abort()
     await turn()
   })
 })
--- a/packages/daemon/src/node/admission/__tests__/createWaitingRouting.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/createWaitingRouting.test.ts
@@ -43,9 +43,9 @@
   }
 }
 
-function setUp(fullFor: number) {
-  const seen = { tries: 0, held: 0, released: 0 }
-  const placement: TargetSlot = {
+function setUp(fullAttempts: number) {
+  const seen = { attempts: 0, pauses: 0, released: 0 }
+  const slot: TargetSlot = {
     target: { id: 'engine-1', address: '127.0.0.1:1' },
     release: () => {
       seen.released += 1
@@ -53,16 +53,18 @@
   }
   const routing: Pick<Routing, 'place'> = {
     place: () => {
-      seen.tries += 1
+      seen.attempts += 1
       const full = createFailure(FailureCode.NoTarget, 'full')
-      return Promise.resolve(seen.tries > fullFor ? ok(placement) : err(full))
+      return Promise.resolve(
+        seen.attempts > fullAttempts ? ok(slot) : err(full),
+      )
     },
   }
-  const admission: Pick<Admission, 'holdBack'> = {
-    async holdBack(_service, wait) {
-      seen.held += 1
+  const admission: Pick<Admission, 'pauseDuring'> = {
+    async pauseDuring(_service, wait) {
+      seen.pauses += 1
       const result = await wait()
-      seen.held -= 1
+      seen.pauses -= 1
       return result
     },
   }
@@ -81,33 +83,33 @@
     const { waiting, seen } = setUp(3)
     const placed = await waiting.place(request(), new Set())
     assert.ok(placed.isOk())
-    assert.deepEqual(seen, { tries: 4, held: 0, released: 0 })
+    assert.deepEqual(seen, { attempts: 4, pauses: 0, released: 0 })
   })
 
-  it('gives up as not run when the deadline passes', async () => {
+  it('fails as not run when the deadline passes', async () => {
     const { waiting, seen } = setUp(Infinity)
     const deadlineAtMs = Date.now() + 50
     const placed = await waiting.place(request({ deadlineAtMs }), new Set())
     const failure = placed._unsafeUnwrapErr()
     assert.equal(failure.code, FailureCode.DeadlinePassed)
     assert.equal(failure.verdict, 'not-run')
-    assert.equal(seen.held, 0)
+    assert.equal(seen.pauses, 0)
   })
 
-  it('gives up when the caller goes away', async () => {
+  it('fails when the caller disconnects', async () => {
     const { waiting, seen } = setUp(Infinity)
-    const gone = new AbortController()
-    const placing = waiting.place(request({ signal: gone.signal }), new Set())
-    gone.abort()
+    const caller = new AbortController()
+    const placing = waiting.place(request({ signal: caller.signal }), new Set())
+    caller.abort()
     assert.ok((await placing).isErr())
-    assert.equal(seen.held, 0)
+    assert.equal(seen.pauses, 0)
   })
 
-  it('does not wait for a service without targets, or in a retry', async () => {
+  it('does not wait for a service without targets or in a retry', async () => {
     const { waiting, seen } = setUp(Infinity)
     const unknown = await waiting.place(request({ service: 'x' }), new Set())
     const retry = await waiting.place(request(), new Set(['engine-1']))
     assert.ok(unknown.isErr() && retry.isErr())
-    assert.equal(seen.tries, 2)
+    assert.equal(seen.attempts, 2)
   })
 })
--- a/packages/daemon/src/node/admission/__tests__/openCall.ts
+++ b/packages/daemon/src/node/admission/__tests__/openCall.ts
@@ -1,14 +1,14 @@
 import { Agent, request } from 'node:http'
 import type { CallerAnswer } from '../../__tests__/callApi.js'
 
-/** A request whose caller may go away. */
+/** A request whose caller can disconnect before the response. */
 export interface OpenCall {
-  readonly answer: Promise<CallerAnswer | undefined>
-  /** Closes the connection, as a caller that goes away does. */
-  leave(): void
+  readonly response: Promise<CallerAnswer | undefined>
+  /** Closes the connection before the response has ended. */
+  disconnect(): void
 }
 
-/** What an open call sends. */
+/** Options for {@link openCall}. */
 export interface OpenCallOptions {
   readonly url: string
   readonly key: string
@@ -16,7 +16,7 @@
   readonly headers?: Record<string, string>
 }
 
-/** Sends a streamed chat request; the answer is undefined after `leave`. */
+/** Sends a streaming chat request; the response is undefined when the connection closes first. */
 export function openCall(options: OpenCallOptions): OpenCall {
   const agent = new Agent({ keepAlive: false })
   const req = request(`${options.url}/v1/chat/completions`, {
@@ -28,7 +28,7 @@
       ...options.headers,
     },
   })
-  const answer = new Promise<CallerAnswer | undefined>((resolve) => {
+  const response = new Promise<CallerAnswer | undefined>((resolve) => {
     req.once('error', () => {
       resolve(undefined)
     })
@@ -49,8 +49,8 @@
   const messages = [{ role: 'user', content }]
   req.end(JSON.stringify({ model: 'briefing', stream: true, messages }))
   return {
-    answer,
-    leave: () => {
+    response,
+    disconnect: () => {
       req.destroy()
     },
   }
--- a/packages/daemon/src/node/admission/__tests__/queueing.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/queueing.test.ts
@@ -17,9 +17,9 @@
 
 const member = createCallerKey('member', 'office')
 
-describe('queueing before a saturated engine', () => {
+describe('queueing for a saturated engine', () => {
   let fleet: Fleet
-  let holder: OpenCall
+  let blocker: OpenCall
 
   before(async () => {
     fleet = await startFleet({
@@ -58,75 +58,75 @@
     return fleet.engines[0]?.runs.map((run) => run.chat) ?? []
   }
 
-  /** Takes the engine's only place with a request that gets no answer. */
+  /** Occupies the engine's only slot with a request that gets no response. */
   beforeEach(async () => {
     const [engine] = fleet.engines
     assert.ok(engine)
     await eventually(() => fleet.routers[0]?.load.running === 0)
     engine.faults.silent = true
     const before = engine.runs.length
-    holder = call('holder')
+    blocker = call('blocker')
     await eventually(() => engine.runs.length === before + 1)
     engine.faults.silent = false
   })
 
-  it('runs the better rank first', async () => {
+  it('runs the request of the more urgent rank first', async () => {
     const before = ranChats().length
     const low = call('tag')
     await waiting(1)
     const top = call('route')
     await waiting(2)
-    holder.leave()
-    assert.equal((await low.answer)?.status, 200)
-    assert.equal((await top.answer)?.status, 200)
+    blocker.disconnect()
+    assert.equal((await low.response)?.status, 200)
+    assert.equal((await top.response)?.status, 200)
     assert.deepEqual(ranChats().slice(before), ['route', 'tag'])
   })
 
-  it('sheds the lowest rank at once when the queue is full', async () => {
+  it('sheds the least urgent request at once when the queue is full', async () => {
     const before = ranChats().length
     const low = call('tag')
     await waiting(1)
     const mid = call('plain')
     await waiting(2)
     const top = call('route')
-    const shed = await low.answer
+    const shed = await low.response
     assert.equal(shed?.status, 503)
     assert.equal(shed.headers[VERDICT_HEADER], 'not-run')
     assert.ok(Number(shed.headers['retry-after']) >= 1)
     await waiting(2)
-    holder.leave()
-    assert.equal((await top.answer)?.status, 200)
-    assert.equal((await mid.answer)?.status, 200)
+    blocker.disconnect()
+    assert.equal((await top.response)?.status, 200)
+    assert.equal((await mid.response)?.status, 200)
     assert.deepEqual(ranChats().slice(before), ['route', 'plain'])
   })
 
-  it('answers a request that expires in the queue as not run', async () => {
+  it('reports a request that expires in the queue as not run', async () => {
     const before = ranChats().length
-    const late = await call('late', { [DEADLINE_HEADER]: '60' }).answer
+    const late = await call('late', { [DEADLINE_HEADER]: '60' }).response
     assert.equal(late?.status, 504)
     assert.equal(late.headers[VERDICT_HEADER], 'not-run')
     assert.match(late.text, /deadline passed while the request waited/)
-    holder.leave()
-    assert.equal((await call('next').answer)?.status, 200)
+    blocker.disconnect()
+    assert.equal((await call('next').response)?.status, 200)
     assert.deepEqual(ranChats().slice(before), ['next'])
   })
 
-  it('forgets a request whose caller goes away', async () => {
+  it('removes a request whose caller disconnects', async () => {
     const before = ranChats().length
     const gone = call('gone')
     await waiting(1)
-    gone.leave()
+    gone.disconnect()
     await waiting(0)
-    holder.leave()
-    assert.equal((await call('next').answer)?.status, 200)
+    blocker.disconnect()
+    assert.equal((await call('next').response)?.status, 200)
     assert.deepEqual(ranChats().slice(before), ['next'])
   })
 
-  it('serves another customer before the rest of a surge', async () => {
+  it('serves another customer before the rest of a burst', async () => {
     const before = ranChats().length
-    const first = call('surge-1')
+    const first = call('burst-1')
     await waiting(1)
-    const second = call('surge-2')
+    const second = call('burst-2')
     await waiting(2)
     const other = openCall({
       url: fleet.callerUrl(),
@@ -134,17 +134,17 @@
       prompt: 'member',
       headers: { [CHAT_HEADER]: 'member' },
     })
-    // The queue is full: the surge, not the newcomer, gives way.
-    assert.equal((await second.answer)?.status, 503)
+    // The queue is full: a request of the burst is shed, not the other customer's.
+    assert.equal((await second.response)?.status, 503)
     await waiting(2)
-    holder.leave()
-    assert.equal((await other.answer)?.status, 200)
-    assert.equal((await first.answer)?.status, 200)
+    blocker.disconnect()
+    assert.equal((await other.response)?.status, 200)
+    assert.equal((await first.response)?.status, 200)
     assert.equal(ranChats().slice(before).length, 2)
-    assert.ok(!ranChats().slice(before).includes('surge-2'))
+    assert.ok(!ranChats().slice(before).includes('burst-2'))
   })
 
-  it('lets another service pass', async () => {
+  it('does not block another service', async () => {
     const low = call('tag')
     await waiting(1)
     const answer = await callApi({
@@ -152,19 +152,19 @@
       headers: { authorization: `Bearer ${fleet.callerKey}` },
     })
     assert.equal(answer.status, 200)
-    holder.leave()
-    assert.equal((await low.answer)?.status, 200)
+    blocker.disconnect()
+    assert.equal((await low.response)?.status, 200)
   })
 
-  it('cancels at the engine when the caller of a running request goes', async () => {
+  it('cancels the run at the engine when the caller disconnects', async () => {
     const inFlight = async (): Promise<unknown> => {
-      const reply = await callApi({
+      const res = await callApi({
         url: `${fleet.engines[0]?.url ?? ''}/load`,
       })
-      return (JSON.parse(reply.text) as { inFlight: number }).inFlight
+      return (JSON.parse(res.text) as { inFlight: number }).inFlight
     }
     assert.equal(await inFlight(), 1)
-    holder.leave()
+    blocker.disconnect()
     await eventually(async () => (await inFlight()) === 0)
     assert.equal(fleet.engines[0]?.runs.at(-1)?.finished, false)
   })
--- a/packages/daemon/src/node/admission/admission.ts
+++ b/packages/daemon/src/node/admission/admission.ts
@@ -3,24 +3,26 @@
 import type { RoutedRequest } from '../callers/routedRequest.js'
 import type { CustomerRates } from '../limits/customerLimits.js'
 
-/** Leave to run; counts against limits until it is released. */
-export interface Admitted {
+/** Permission to run; counts against the limits until it is released. */
+export interface AdmissionPermit {
   release(): void
 }
 
-/** Decides when a request may run, in order of urgency. */
+/** Admission control: decides when each request may run, by rank. */
 export interface Admission {
-  /** Waits for the request's turn. */
-  enter(request: RoutedRequest): Promise<Result<Admitted, RequestFailure>>
-  /** Requests that run. */
+  /** Queues the request and resolves once it may run or has left the queue. */
+  enter(
+    request: RoutedRequest,
+  ): Promise<Result<AdmissionPermit, RequestFailure>>
+  /** Number of running requests. */
   readonly running: number
-  /** Requests that wait. */
+  /** Number of queued requests. */
   readonly waiting: number
-  /** Requests that wait or run, by customer. */
+  /** Number of queued or running requests by customer. */
   inFlightByCustomer(): Record<string, number>
-  /** Requests of late of each customer with a rate. */
+  /** Requests of each customer with a rate limit, within its rate window. */
   ratesByCustomer(): CustomerRates
-  /** Holds the queue of a service back while `wait` goes on. */
-  holdBack<T>(service: string, wait: () => Promise<T>): Promise<T>
+  /** Starts no queued request of the service until `wait` settles. */
+  pauseDuring<T>(service: string, wait: () => Promise<T>): Promise<T>
   stop(): Promise<void>
 }
--- a/packages/daemon/src/node/admission/createAdmission.ts
+++ b/packages/daemon/src/node/admission/createAdmission.ts
@@ -6,15 +6,15 @@
 import { createLoop } from '../tasks/createLoop.js'
 import type { Admission } from './admission.js'
 import { createServiceQueue, type ServiceQueue } from './createServiceQueue.js'
-import { leaveFailure } from './leaveFailure.js'
+import { queueExitFailure } from './queueExitFailure.js'
 import type { CustomerLimits } from '../limits/customerLimits.js'
 
-/** What admission works with. */
+/** Options for {@link createAdmission}. */
 export interface AdmissionOptions {
   readonly settings: ResolvedSettings['queue']
   readonly configuration: () => Configuration
   readonly limits: CustomerLimits
-  /** Requests of a service that this router may have in flight. */
+  /** Maximum number of requests of a service in flight from this router. */
   readonly concurrency: (service: string) => number
   readonly metrics: Metrics
   /** Milliseconds of the monotonic clock. */
@@ -23,26 +23,26 @@
   readonly epochNow: () => number
 }
 
-/** Milliseconds between two looks at the room that peers leave. */
-const REFRESH_MS = 50
-/** Milliseconds between two reports of the queues' lengths. */
-const REPORT_MS = 1_000
+/** Interval at which the concurrency of services with queued requests is recomputed. */
+const REFRESH_INTERVAL_MS = 50
+/** Interval between two reports of the queue lengths. */
+const REPORT_INTERVAL_MS = 1_000
 
-/** Creates admission with a bounded queue for each service. */
+/** Creates admission control with one bounded queue per service. */
 export function createAdmission(options: AdmissionOptions): Admission {
   const { settings, configuration, limits, concurrency, metrics, now } = options
   const queues = new Map<string, ServiceQueue>()
-  let refreshing: NodeJS.Timeout | undefined
+  let refreshTimer: NodeJS.Timeout | undefined
 
   function queueOf(service: string): ServiceQueue {
-    const known = queues.get(service)
-    if (known) return known
+    const existing = queues.get(service)
+    if (existing) return existing
     const queue = createServiceQueue(settings, now)
     queues.set(service, queue)
     return queue
   }
 
-  function toWaiting(request: RoutedRequest): WaitingRequest {
+  function toWaitingRequest(request: RoutedRequest): WaitingRequest {
     const { id, rank, customer, deadlineAtMs } = request
     const waitMs =
       deadlineAtMs === undefined
@@ -60,43 +60,44 @@
 
   async function enter(request: RoutedRequest) {
     const { service, customer, rank } = request
-    const taken = limits.take(customer)
-    if (taken.isErr()) return err(taken.error)
+    const acquired = limits.acquire(customer)
+    if (acquired.isErr()) return err(acquired.error)
+    const releaseLimit = acquired.value
     const queue = queueOf(service)
     queue.setConcurrency(concurrency(service))
-    const waiting = toWaiting(request)
-    const turn = queue.enter(waiting, request.signal)
-    refreshLater()
-    const entered = await turn
+    const waiting = toWaitingRequest(request)
+    const admission = queue.enqueue(waiting, request.signal)
+    scheduleRefresh()
+    const admitted = await admission
     const tags = { service, rank: String(rank) }
     metrics.timing('queue.wait', now() - waiting.enqueuedAtMs, tags)
-    if (entered.isErr()) {
-      taken.value()
-      metrics.count(`queue.${entered.error}`, 1, tags)
-      return err(leaveFailure(entered.error))
+    if (admitted.isErr()) {
+      releaseLimit()
+      metrics.count(`queue.${admitted.error}`, 1, tags)
+      return err(queueExitFailure(admitted.error))
     }
     return ok({
       release: () => {
-        taken.value()
-        entered.value()
+        releaseLimit()
+        admitted.value()
       },
     })
   }
 
-  function refresh(): void {
-    refreshing = undefined
+  function refreshConcurrency(): void {
+    refreshTimer = undefined
     for (const [service, queue] of queues)
       if (queue.waiting > 0) queue.setConcurrency(concurrency(service))
-    refreshLater()
+    scheduleRefresh()
   }
 
-  // Nothing is looked at while nothing waits: an idle router stays idle.
-  function refreshLater(): void {
-    if (refreshing || sum((queue) => queue.waiting) === 0) return
-    refreshing = setTimeout(refresh, REFRESH_MS)
+  // No timer runs while the queues are empty, so that an idle router does no work.
+  function scheduleRefresh(): void {
+    if (refreshTimer || sumQueues((queue) => queue.waiting) === 0) return
+    refreshTimer = setTimeout(refreshConcurrency, REFRESH_INTERVAL_MS)
   }
 
-  function report(): Promise<void> {
+  function reportQueueLengths(): Promise<void> {
     for (const [service, queue] of queues) {
       for (const [rank, count] of queue.waitingByRank())
         metrics.gauge('queue.waiting', count, { service, rank: String(rank) })
@@ -104,19 +105,23 @@
     return Promise.resolve()
   }
 
-  function sum(count: (queue: ServiceQueue) => number): number {
+  function sumQueues(count: (queue: ServiceQueue) => number): number {
     let total = 0
     for (const queue of queues.values()) total += count(queue)
     return total
   }
 
-  const reports = createLoop(report, REPORT_MS, () => undefined)
+  const reportLoop = createLoop(
+    reportQueueLengths,
+    REPORT_INTERVAL_MS,
+    () => undefined,
+  )
   return {
     enter,
     inFlightByCustomer: () => limits.inFlight(),
     ratesByCustomer: () => limits.rates(),
-    async holdBack(service, wait) {
-      const resume = queueOf(service).holdBack()
+    async pauseDuring(service, wait) {
+      const resume = queueOf(service).pause()
       try {
         return await wait()
       } finally {
@@ -124,14 +129,14 @@
       }
     },
     get running() {
-      return sum((queue) => queue.running)
+      return sumQueues((queue) => queue.running)
     },
     get waiting() {
-      return sum((queue) => queue.waiting)
+      return sumQueues((queue) => queue.waiting)
     },
     stop: async () => {
-      clearTimeout(refreshing)
-      await reports.stop()
+      clearTimeout(refreshTimer)
+      await reportLoop.stop()
     },
   }
 }
--- a/packages/daemon/src/node/admission/createFleetAdmission.ts
+++ b/packages/daemon/src/node/admission/createFleetAdmission.ts
@@ -1,5 +1,5 @@
 import type { Configuration, VmEntry } from '@auburnbay/core'
-import { STALE_HEARTBEATS } from '../limits/constants.js'
+import { STALE_AFTER_HEARTBEATS } from '../limits/constants.js'
 import { createCustomerLimits } from '../limits/createCustomerLimits.js'
 import { createFleetUsage } from '../limits/createFleetUsage.js'
 import { createServiceConcurrency } from '../limits/createServiceConcurrency.js'
@@ -9,13 +9,13 @@
 import type { Admission } from './admission.js'
 import { createAdmission } from './createAdmission.js'
 
-/** What admission over the whole fleet works with. */
+/** Options for {@link createFleetAdmission}. */
 export interface FleetAdmissionOptions {
   readonly settings: ResolvedSettings
   readonly configuration: () => Configuration
   readonly vms: () => readonly VmEntry[]
   readonly membership: () => Pick<Membership, 'livePeers'>
-  /** Whether a target takes work. */
+  /** Whether a target accepts requests. */
   readonly eligible: (targetId: string) => boolean
   readonly metrics: Metrics
   /** Milliseconds of the monotonic clock. */
@@ -24,16 +24,16 @@
   readonly epochNow: () => number
 }
 
-/** Creates admission whose limits count what the peers' digests tell. */
+/** Creates admission control whose limits include the usage in the peers' digests. */
 export function createFleetAdmission(
   options: FleetAdmissionOptions,
 ): Admission {
   const { settings, configuration, metrics, now } = options
   const router = settings.router.id
-  const staleMs = settings.peers.heartbeatMs * STALE_HEARTBEATS
+  const staleMs = settings.peers.heartbeatMs * STALE_AFTER_HEARTBEATS
   const holdMs = settings.limits.silentHoldMs
   const usage = createFleetUsage({ ...options, router, holdMs })
-  const limited = {
+  const limitOptions = {
     router,
     staleMs,
     holdMs,
@@ -45,9 +45,9 @@
   return createAdmission({
     ...options,
     settings: settings.queue,
-    limits: createCustomerLimits(limited),
+    limits: createCustomerLimits(limitOptions),
     concurrency: createServiceConcurrency({
-      ...limited,
+      ...limitOptions,
       settings: settings.queue,
       eligible: options.eligible,
     }),
--- a/packages/daemon/src/node/admission/createRankedQueueClass.ts
+++ b/packages/daemon/src/node/admission/createRankedQueueClass.ts
@@ -9,38 +9,39 @@
 type RunFunction = () => Promise<unknown>
 type AddOptions = NonNullable<Parameters<PQueue['add']>[1]>
 
-/** What `add` takes with a request. */
-export interface RankedOptions extends AddOptions {
+/** Options of `PQueue.add` for a ranked request. */
+export interface RankedAddOptions extends AddOptions {
   readonly request: WaitingRequest
-  /** Called when the request is shed for one of a better rank. */
+  /** Called when the request is shed in favour of another one. */
   readonly onShed: () => void
 }
 
-interface QueuedRun extends WaitingRequest {
+interface QueueEntry extends WaitingRequest {
   readonly run: RunFunction
   readonly onShed: () => void
 }
 
 /**
- * Creates a queue class for p-queue that follows the order of the core. While
- * `urgentOnly` holds, it shows and hands out requests of rank 0 alone.
+ * Creates a queue class for p-queue with the order of `createRequestQueue`.
+ * While `urgentOnly` returns true, only requests of rank 0 are visible and run.
  */
 export function createRankedQueueClass(
   options: RequestQueueOptions,
   now: () => number,
   urgentOnly: () => boolean,
-): new () => Queue<RunFunction, RankedOptions> {
+): new () => Queue<RunFunction, RankedAddOptions> {
   return class RankedQueue {
-    private readonly queue = createRequestQueue<QueuedRun>(options)
+    private readonly queue = createRequestQueue<QueueEntry>(options)
 
     get size(): number {
       return urgentOnly() ? this.queue.urgentSize : this.queue.size
     }
 
-    enqueue(run: RunFunction, added?: Partial<RankedOptions>): void {
-      if (!added?.request) throw new TypeError('add needs a request to rank')
-      const onShed = added.onShed ?? (() => undefined)
-      const queued = { ...added.request, run, onShed }
+    enqueue(run: RunFunction, addOptions?: Partial<RankedAddOptions>): void {
+      if (!addOptions?.request)
+        throw new TypeError('PQueue.add() requires a `request` option')
+      const onShed = addOptions.onShed ?? (() => undefined)
+      const queued = { ...addOptions.request, run, onShed }
       for (const shed of this.queue.enqueue(queued)) shed.onShed()
     }
 
@@ -55,15 +56,17 @@
       this.queue.remove(id)
     }
 
-    filter(wanted: Readonly<Partial<RankedOptions>>): RunFunction[] {
+    filter(criteria: Readonly<Partial<RankedAddOptions>>): RunFunction[] {
       const found: RunFunction[] = []
       for (const queued of this.queue.requests())
-        if (queued.rank === wanted.priority) found.push(queued.run)
+        if (queued.rank === criteria.priority) found.push(queued.run)
       return found
     }
 
     setPriority(id: string): void {
-      throw new Error(`the rank of ${id} is fixed; submit the request again`)
+      throw new Error(
+        `cannot change the rank of request ${id}; submit it again`,
+      )
     }
   }
 }
--- a/packages/daemon/src/node/admission/createServiceQueue.ts
+++ b/packages/daemon/src/node/admission/createServiceQueue.ts
@@ -9,38 +9,41 @@
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import {
   createRankedQueueClass,
-  type RankedOptions,
+  type RankedAddOptions,
 } from './createRankedQueueClass.js'
-import { LeaveReason, reasonOf } from './leaveReason.js'
+import { QueueExitReason, exitReasonOf } from './queueExitReason.js'
 
-/** Gives the place of a request in flight back. */
+/** Releases the slot of a running request. */
 export type Release = () => void
 
-/** The queue of one service. */
+/** Request queue of one service. */
 export interface ServiceQueue {
   readonly running: number
   readonly waiting: number
-  /** Requests that wait, by rank. */
+  /** Number of queued requests by rank. */
   waitingByRank(): Map<number, number>
-  /** Waits for a turn; `signal` is aborted once the caller has gone away. */
-  enter(
+  /**
+   * Resolves once the request runs or has left the queue. `signal` aborts when
+   * the caller disconnects or the deadline passes.
+   */
+  enqueue(
     request: WaitingRequest,
     signal: AbortSignal,
-  ): Promise<Result<Release, LeaveReason>>
-  /** Lets so many requests run from now on. */
+  ): Promise<Result<Release, QueueExitReason>>
+  /** Sets how many requests may run at the same time. */
   setConcurrency(concurrency: number): void
-  /** Starts nothing until the returned function is called. */
-  holdBack(): () => void
+  /** Starts no request until the returned function is called; may be nested. */
+  pause(): () => void
 }
 
 type RankedPQueue = PQueue<
   InstanceType<ReturnType<typeof createRankedQueueClass>>,
-  RankedOptions
+  RankedAddOptions
 >
 
-const HIGHEST_RANK = 9
+const MAX_RANK = 9
 
-/** Creates an empty queue; the order is that of `createRequestQueue`. */
+/** Creates an empty queue with the order of `createRequestQueue`. */
 export function createServiceQueue(
   settings: ResolvedSettings['queue'],
   now: () => number,
@@ -48,12 +51,12 @@
   let waiting = 0
   let running = 0
   let concurrency = Infinity
-  let holds = 0
-  const time = createMeanRunTime()
+  let pauses = 0
+  const runTime = createMeanRunTime()
 
   function capacity(): number {
     const { drainMs, maxWaiting } = settings
-    const meanRunMs = time.meanMs
+    const meanRunMs = runTime.meanMs
     return queueCapacity({ concurrency, meanRunMs, drainMs, maxWaiting })
   }
 
@@ -63,44 +66,44 @@
   }
 
   const { ageingMs, shareHalfLifeMs } = settings
-  const order = { capacity, ageingMs, shareHalfLifeMs }
-  const queueClass = createRankedQueueClass(order, now, urgentOnly)
+  const queueOptions = { capacity, ageingMs, shareHalfLifeMs }
+  const queueClass = createRankedQueueClass(queueOptions, now, urgentOnly)
   const queue: RankedPQueue = new PQueue({ queueClass })
 
-  function enter(
+  function enqueue(
     request: WaitingRequest,
     signal: AbortSignal,
-  ): Promise<Result<Release, LeaveReason>> {
+  ): Promise<Result<Release, QueueExitReason>> {
     return new Promise((resolve) => {
-      const left = new AbortController()
-      const leave = (reason: LeaveReason): void => {
-        left.abort(reason)
+      const exit = new AbortController()
+      const leaveQueue = (reason: QueueExitReason): void => {
+        exit.abort(reason)
       }
-      const onGone = (): void => {
-        leave(reasonOf(signal))
+      const onAbort = (): void => {
+        leaveQueue(exitReasonOf(signal))
       }
       const expiry = setTimeout(
-        leave,
+        leaveQueue,
         Math.max(0, request.deadlineAtMs - now()),
-        LeaveReason.Expired,
+        QueueExitReason.Expired,
       )
-      const settle = (result: Result<Release, LeaveReason>): void => {
+      const resolveEntry = (result: Result<Release, QueueExitReason>): void => {
         waiting -= 1
         clearTimeout(expiry)
-        signal.removeEventListener('abort', onGone)
+        signal.removeEventListener('abort', onAbort)
         resolve(result)
       }
       waiting += 1
-      signal.addEventListener('abort', onGone, { once: true })
-      if (signal.aborted) onGone()
+      signal.addEventListener('abort', onAbort, { once: true })
+      if (signal.aborted) onAbort()
       const run = (): Promise<void> =>
         new Promise((release) => {
           running += 1
           const startedAtMs = now()
-          settle(
+          resolveEntry(
             ok(() => {
               running -= 1
-              time.add(now() - startedAtMs)
+              runTime.add(now() - startedAtMs)
               release()
             }),
           )
@@ -108,19 +111,19 @@
       const options = {
         id: request.id,
         request,
-        signal: left.signal,
+        signal: exit.signal,
         onShed: () => {
-          leave(LeaveReason.Shed)
+          leaveQueue(QueueExitReason.Shed)
         },
       }
       queue.add(run, options).catch(() => {
-        settle(err(left.signal.reason as LeaveReason))
+        resolveEntry(err(exit.signal.reason as QueueExitReason))
       })
     })
   }
 
   return {
-    enter,
+    enqueue,
     get running() {
       return running
     },
@@ -129,21 +132,21 @@
     },
     waitingByRank() {
       const counts = new Map<number, number>()
-      for (let rank = 0; rank <= HIGHEST_RANK; rank += 1)
+      for (let rank = 0; rank <= MAX_RANK; rank += 1)
         counts.set(rank, queue.sizeBy({ priority: rank }))
       return counts
     },
-    setConcurrency(wanted) {
-      if (wanted === concurrency) return
-      concurrency = wanted
-      queue.concurrency = wanted
+    setConcurrency(next) {
+      if (next === concurrency) return
+      concurrency = next
+      queue.concurrency = next
     },
-    holdBack() {
-      holds += 1
+    pause() {
+      pauses += 1
       queue.pause()
       return () => {
-        holds -= 1
-        if (holds === 0) queue.start()
+        pauses -= 1
+        if (pauses === 0) queue.start()
       }
     },
   }
--- a/packages/daemon/src/node/admission/createWaitingRouting.ts
+++ b/packages/daemon/src/node/admission/createWaitingRouting.ts
@@ -9,37 +9,38 @@
 import type { RoutedRequest } from '../callers/routedRequest.js'
 import type { TargetSlot, Routing } from '../routing/routing.js'
 import type { Admission } from './admission.js'
-import { leaveFailure } from './leaveFailure.js'
-import { LeaveReason, reasonOf } from './leaveReason.js'
+import { queueExitFailure } from './queueExitFailure.js'
+import { QueueExitReason, exitReasonOf } from './queueExitReason.js'
 
-/** What waiting for a place works with. */
+/** Options for {@link createWaitingRouting}. */
 export interface WaitingRoutingOptions {
   readonly routing: Routing
   readonly admission: Admission
   readonly configuration: () => Configuration
-  /** Longest wait of a request without a deadline, in milliseconds. */
+  /** Maximum wait of a request without a deadline, in milliseconds. */
   readonly maxWaitMs: number
   /** Milliseconds since the epoch. */
   readonly epochNow: () => number
 }
 
-type Placed = Result<TargetSlot, RequestFailure>
+type SelectionResult = Result<TargetSlot, RequestFailure>
 
-const TRY_AGAIN_MS = 20
+const RETRY_INTERVAL_MS = 20
 
 /**
- * Lets a request wait while every target is at its bound. Meanwhile the queue
- * of its service stands still, so that later requests stay in order of rank.
+ * Wraps a routing so that a request waits while every target is at its bound.
+ * The service's queue is paused meanwhile, which keeps later requests in order
+ * of rank.
  */
 export function createWaitingRouting(options: WaitingRoutingOptions): Routing {
   const { routing, admission, configuration, maxWaitMs, epochNow } = options
-  const waiters = new Map<string, PQueue>()
+  const waitQueues = new Map<string, PQueue>()
 
-  function waitersOf(service: string): PQueue {
-    const known = waiters.get(service)
-    if (known) return known
+  function waitQueueOf(service: string): PQueue {
+    const existing = waitQueues.get(service)
+    if (existing) return existing
     const created = new PQueue({ concurrency: 1 })
-    waiters.set(service, created)
+    waitQueues.set(service, created)
     return created
   }
 
@@ -49,32 +50,35 @@
     return targets.some(({ service }) => service === request.service)
   }
 
-  async function tryUntil(
+  async function retryUntilPlaced(
     signal: AbortSignal,
     request: RoutedRequest,
-  ): Promise<Placed> {
+  ): Promise<SelectionResult> {
     for (;;) {
       const placed = await routing.place(request, new Set())
       if (placed.isOk() && signal.aborted) placed.value.release()
       signal.throwIfAborted()
       if (placed.isOk() || !mayWait(request, placed.error)) return placed
-      await sleep(TRY_AGAIN_MS, undefined, { signal })
+      await sleep(RETRY_INTERVAL_MS, undefined, { signal })
     }
   }
 
-  async function wait(request: RoutedRequest): Promise<Placed> {
-    const { deadlineAtMs, signal: gone, service, rank } = request
+  async function wait(request: RoutedRequest): Promise<SelectionResult> {
+    const { deadlineAtMs, signal: callerSignal, service, rank } = request
     const waitMs =
       deadlineAtMs === undefined ? maxWaitMs : deadlineAtMs - epochNow()
-    const expired = AbortSignal.timeout(Math.max(0, Math.ceil(waitMs)))
-    const signal = AbortSignal.any([gone, expired])
+    const waitTimeout = AbortSignal.timeout(Math.max(0, Math.ceil(waitMs)))
+    const signal = AbortSignal.any([callerSignal, waitTimeout])
     try {
-      const run = (): Promise<Placed> => tryUntil(signal, request)
-      const order = { priority: -rank, signal }
-      return await waitersOf(service).add(run, order)
+      const run = (): Promise<SelectionResult> =>
+        retryUntilPlaced(signal, request)
+      const addOptions = { priority: -rank, signal }
+      return await waitQueueOf(service).add(run, addOptions)
     } catch (error) {
-      if (gone.aborted) return err(leaveFailure(reasonOf(gone)))
-      if (expired.aborted) return err(leaveFailure(LeaveReason.Expired))
+      if (callerSignal.aborted)
+        return err(queueExitFailure(exitReasonOf(callerSignal)))
+      if (waitTimeout.aborted)
+        return err(queueExitFailure(QueueExitReason.Expired))
       throw error
     }
   }
@@ -85,7 +89,7 @@
       const placed = await routing.place(request, exclude)
       if (placed.isOk()) return ok(placed.value)
       if (exclude.size > 0 || !mayWait(request, placed.error)) return placed
-      return admission.holdBack(request.service, () => wait(request))
+      return admission.pauseDuring(request.service, () => wait(request))
     },
   }
 }
--- a/packages/daemon/src/node/admission/leaveFailure.ts
+++ b/packages/daemon/src/node/admission/queueExitFailure.ts
@@ -1,30 +1,30 @@
 import { FailureCode, type RequestFailure } from '@auburnbay/core'
 import { createFailure } from '../callers/createFailure.js'
-import { LeaveReason } from './leaveReason.js'
+import { QueueExitReason } from './queueExitReason.js'
 
 const RETRY_AFTER_S = 1
 
-/** Returns the failure of a request that left the queue; it was not run. */
-export function leaveFailure(reason: LeaveReason): RequestFailure {
+/** Returns the failure of a request that left the queue before it ran. */
+export function queueExitFailure(reason: QueueExitReason): RequestFailure {
   switch (reason) {
-    case LeaveReason.Shed:
+    case QueueExitReason.Shed:
       return createFailure(
         FailureCode.Overloaded,
         'more urgent requests fill the queue; try again later',
         undefined,
         RETRY_AFTER_S,
       )
-    case LeaveReason.Expired:
+    case QueueExitReason.Expired:
       return createFailure(
         FailureCode.DeadlinePassed,
         'the deadline passed while the request waited; try again later',
         undefined,
         RETRY_AFTER_S,
       )
-    case LeaveReason.CallerGone:
+    case QueueExitReason.CallerGone:
       return createFailure(
         FailureCode.DeadlinePassed,
-        'the caller went away while the request waited',
+        'the caller disconnected while the request waited',
       )
   }
 }
--- a/packages/daemon/src/node/limits/__tests__/createRetries.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/createRetries.test.ts
@@ -46,15 +46,15 @@
   createFailure(code, 'failed', verdict)
 
 describe('createRetries', () => {
-  it('keeps one budget for each service and counts what it refuses', () => {
+  it('keeps one budget per service and counts rejected retries', () => {
     const { retries, counts } = setUp(0)
     const down = failure(FailureCode.TargetUnreachable)
     for (let index = 0; index < 4; index += 1)
       retries.recordFirstAttempt(request())
-    // What briefing has earned is not for charts.
+    // The budget that briefing has earned does not apply to charts.
     assert.ok(!retries.tryAcquire(request({ service: 'charts' }), down))
-    const taken = [1, 2, 3].map(() => retries.tryAcquire(request(), down))
-    assert.deepEqual(taken, [true, true, false])
+    const acquired = [1, 2, 3].map(() => retries.tryAcquire(request(), down))
+    assert.deepEqual(acquired, [true, true, false])
     assert.deepEqual(counts, [
       'retries.refused',
       'retries',
@@ -63,15 +63,15 @@
     ])
   })
 
-  it('refuses what another target cannot mend, without cost', () => {
+  it('rejects failures that a retry cannot fix, without charging the budget', () => {
     const { retries, counts } = setUp(10)
-    const gone = new AbortController()
-    gone.abort()
+    const caller = new AbortController()
+    caller.abort()
     const failed = failure(FailureCode.TargetFailed)
     const ran = failure(FailureCode.TargetFailed, MayHaveRun)
     assert.ok(!retries.tryAcquire(request(), failure(FailureCode.NoTarget)))
     assert.ok(!retries.tryAcquire(request(), failure(FailureCode.Overloaded)))
-    assert.ok(!retries.tryAcquire(request({ signal: gone.signal }), failed))
+    assert.ok(!retries.tryAcquire(request({ signal: caller.signal }), failed))
     assert.ok(!retries.tryAcquire(request({ deadlineAtMs: NOW_MS }), failed))
     assert.ok(!retries.tryAcquire(request({ idempotent: false }), ran))
     assert.deepEqual(counts, [])
--- a/packages/daemon/src/node/limits/__tests__/createServiceConcurrency.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/createServiceConcurrency.test.ts
@@ -14,9 +14,9 @@
 
 const STALE_MS = 750
 const HOLD_MS = 10_000
-/** Longer than a result is used again. */
+/** Longer than the lifetime of a cached result. */
 const STEP_MS = 100
-const PLACES = 30
+const CAPACITY = 30
 const MAX_IN_FLIGHT = 200
 
 function vm(id: string): VmEntry {
@@ -44,8 +44,8 @@
     live: [] as PeerStatus[],
     ejected: new Set<string>(),
     cfg: configurationOf({
-      'engine-1': target(PLACES / 2),
-      'engine-2': target(PLACES / 2),
+      'engine-1': target(CAPACITY / 2),
+      'engine-2': target(CAPACITY / 2),
       'charts-1': target(undefined, 'charts'),
     }),
   }
@@ -67,51 +67,51 @@
     usage,
     now,
   })
-  const hear = (id: string, targets: Digest['targets']) => {
+  const receiveDigest = (id: string, targets: Digest['targets']) => {
     const digest = { targets, customers: {} }
     const heartbeat = { digest } as PeerStatus['heartbeat']
     state.live = state.live.filter((peer) => peer.id !== id)
     state.live.push({ id, heartbeat, ageMs: 0 })
   }
-  const at = (afterMs: number) => {
+  const concurrencyAfter = (afterMs: number) => {
     state.nowMs += afterMs
     return concurrency('briefing')
   }
-  return { state, concurrency, hear, at }
+  return { state, concurrency, receiveDigest, concurrencyAfter }
 }
 
 describe('createServiceConcurrency', () => {
-  it('is the share of each router while nobody is heard', () => {
-    assert.equal(setUp().at(0), PLACES / 3)
+  it('is the share of each router before any digest arrives', () => {
+    assert.equal(setUp().concurrencyAfter(0), CAPACITY / 3)
   })
 
-  it('borrows what peers leave, and keeps the own share when they do not', () => {
-    const { hear, at } = setUp()
-    hear('router-2', { 'engine-1': 2, 'charts-1': 50 })
-    hear('router-3', { 'engine-2': 3 })
-    assert.equal(at(STEP_MS), PLACES - 5)
-    hear('router-2', { 'engine-1': 15, 'engine-2': 10 })
-    assert.equal(at(STEP_MS), PLACES / 3)
+  it('uses capacity that peers leave unused, and never less than its own share', () => {
+    const { receiveDigest, concurrencyAfter } = setUp()
+    receiveDigest('router-2', { 'engine-1': 2, 'charts-1': 50 })
+    receiveDigest('router-3', { 'engine-2': 3 })
+    assert.equal(concurrencyAfter(STEP_MS), CAPACITY - 5)
+    receiveDigest('router-2', { 'engine-1': 15, 'engine-2': 10 })
+    assert.equal(concurrencyAfter(STEP_MS), CAPACITY / 3)
   })
 
-  it('counts the last use of a peer that left the list, for a while', () => {
-    const { state, hear, at } = setUp()
-    hear('router-2', {})
-    hear('router-3', { 'engine-1': 12 })
-    assert.equal(at(STEP_MS), PLACES - 12)
+  it('counts the last usage of a peer that left the VM list until the hold time ends', () => {
+    const { state, receiveDigest, concurrencyAfter } = setUp()
+    receiveDigest('router-2', {})
+    receiveDigest('router-3', { 'engine-1': 12 })
+    assert.equal(concurrencyAfter(STEP_MS), CAPACITY - 12)
     state.live = state.live.filter(({ id }) => id !== 'router-3')
     state.vms = state.vms.filter(({ id }) => id !== 'router-3')
-    assert.equal(at(HOLD_MS - STEP_MS), PLACES - 12)
-    assert.equal(at(2 * STEP_MS), PLACES)
+    assert.equal(concurrencyAfter(HOLD_MS - STEP_MS), CAPACITY - 12)
+    assert.equal(concurrencyAfter(2 * STEP_MS), CAPACITY)
   })
 
-  it('leaves out the places of ejected targets', () => {
-    const { state, at } = setUp()
+  it('excludes the capacity of ejected targets', () => {
+    const { state, concurrencyAfter } = setUp()
     state.ejected.add('engine-1')
-    assert.equal(at(STEP_MS), PLACES / 2 / 3)
+    assert.equal(concurrencyAfter(STEP_MS), CAPACITY / 2 / 3)
   })
 
-  it('is the setting where targets have no limit of their own', () => {
+  it('is the configured maximum when targets have no limit', () => {
     assert.equal(setUp().concurrency('charts'), MAX_IN_FLIGHT)
   })
 })
--- a/packages/daemon/src/node/limits/__tests__/fleetLimits.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/fleetLimits.test.ts
@@ -9,9 +9,9 @@
 } from '../../__tests__/startFleet.js'
 import { type OpenCall, openCall } from '../../admission/__tests__/openCall.js'
 
-/** Rounds in which the same router must refuse. */
+/** Consecutive rounds in which the same router must reject the request. */
 const ROUNDS = 5
-const DEAD_ADDRESS = '127.0.0.1:9'
+const UNREACHABLE_ADDRESS = '127.0.0.1:9'
 
 describe('customer limits over two routers', () => {
   let fleet: Fleet
@@ -23,7 +23,7 @@
       routers: 2,
       engines: 1,
       settings: {
-        // A heartbeat that a busy machine delays must not look like silence.
+        // On a busy machine a late heartbeat must not make its peer look unresponsive.
         peers: { heartbeatMs: 300 },
         limits: { silentHoldMs: 1_000 },
       },
@@ -33,12 +33,12 @@
   after(() => fleet.stop())
 
   afterEach(async () => {
-    for (const call of open) call.leave()
+    for (const call of open) call.disconnect()
     open = []
-    await idle()
+    await waitUntilIdle()
   })
 
-  function idle(): Promise<void> {
+  function waitUntilIdle(): Promise<void> {
     return eventually(() =>
       fleet.routers.every(({ load }) => load.running === 0),
     )
@@ -50,65 +50,68 @@
       path: `/customers/corrib/${name}`,
       value,
     }))
-    const reply = await fleet.patch(operations, version)
-    assert.equal(reply.status, 200)
+    const res = await fleet.patch(operations, version)
+    assert.equal(res.status, 200)
     version += 1
   }
 
-  /** Starts a request that the engine takes and never answers. */
-  async function hold(router: number): Promise<void> {
+  /** Starts a request that reaches the engine and gets no response. */
+  async function holdSlot(router: number): Promise<void> {
     const [engine] = fleet.engines
     assert.ok(engine)
     engine.faults.silent = true
     const before = engine.runs.length
-    const reaches = async (): Promise<boolean> => {
+    const reachesEngine = async (): Promise<boolean> => {
       const call = openCall({
         url: fleet.callerUrl(router),
         key: fleet.callerKey,
         prompt: 'hold',
         headers: { [CHAT_HEADER]: `hold-${open.length}` },
       })
-      const isRefusedCall = call.answer.then(() => true)
+      const isRejectedCall = call.response.then(() => true)
       const isHeld = eventually(() => engine.runs.length > before)
-      if (await Promise.race([isRefusedCall, isHeld])) return false
+      if (await Promise.race([isRejectedCall, isHeld])) return false
       open.push(call)
       return true
     }
-    await eventually(reaches)
+    await eventually(reachesEngine)
     engine.faults.silent = false
   }
 
   const probe = (router: number) =>
     callChat(fleet.callerUrl(router), fleet.callerKey, 'probe')
 
-  async function isRefused(router: number): Promise<boolean> {
+  async function isRejected(router: number): Promise<boolean> {
     return (await probe(router)).status === 429
   }
 
-  it('counts what another router has in flight', async () => {
+  it('counts requests in flight from another router', async () => {
     await limitTo({ maxInFlight: 2 })
-    await hold(0)
-    await hold(0)
-    await eventually(() => isRefused(1))
-    const refused = await probe(0)
-    assert.equal(refused.status, 429)
-    assert.equal(refused.headers[VERDICT_HEADER], 'not-run')
-    assert.ok(Number(refused.headers['retry-after']) >= 1)
-    open.pop()?.leave()
-    await eventually(async () => !(await isRefused(1)))
+    await holdSlot(0)
+    await holdSlot(0)
+    await eventually(() => isRejected(1))
+    const rejected = await probe(0)
+    assert.equal(rejected.status, 429)
+    assert.equal(rejected.headers[VERDICT_HEADER], 'not-run')
+    assert.ok(Number(rejected.headers['retry-after']) >= 1)
+    open.pop()?.disconnect()
+    await eventually(async () => !(await isRejected(1)))
   })
 
-  it('divides the limit when the routers do not hear each other', async () => {
+  it('divides the limit when the routers cannot reach each other', async () => {
     const vms = fleet.vmList.vms
-    fleet.vmList.vms = vms.map((vm) => ({ ...vm, address: DEAD_ADDRESS }))
+    fleet.vmList.vms = vms.map((vm) => ({
+      ...vm,
+      address: UNREACHABLE_ADDRESS,
+    }))
     await limitTo({ maxInFlight: 1 })
-    // The only place belongs to one of the two, whoever that is.
+    // Only one of the two routers has a share of the limit, whichever that is.
     const rounds: string[] = []
     await eventually(async () => {
-      await idle()
-      const first = await isRefused(0)
-      await idle()
-      rounds.push(`${first} ${await isRefused(1)}`)
+      await waitUntilIdle()
+      const first = await isRejected(0)
+      await waitUntilIdle()
+      rounds.push(`${first} ${await isRejected(1)}`)
       const last = rounds.slice(-ROUNDS)
       const same = last.every((round) => round === last[0])
       return (
@@ -119,17 +122,17 @@
     })
     fleet.vmList.vms = vms
     await eventually(async () => {
-      const refused = [await isRefused(0), await isRefused(1)]
-      return !refused.includes(true)
+      const rejected = [await isRejected(0), await isRejected(1)]
+      return !rejected.includes(true)
     })
   })
 
-  it('holds the rate over both routers', async () => {
+  it('enforces the rate over both routers', async () => {
     await limitTo({ maxInFlight: 100, ratePerS: 0.05 })
-    await eventually(() => isRefused(0))
-    await eventually(() => isRefused(1))
-    const refused = await probe(1)
-    assert.equal(refused.headers[VERDICT_HEADER], 'not-run')
-    assert.ok(Number(refused.headers['retry-after']) >= 1)
+    await eventually(() => isRejected(0))
+    await eventually(() => isRejected(1))
+    const rejected = await probe(1)
+    assert.equal(rejected.headers[VERDICT_HEADER], 'not-run')
+    assert.ok(Number(rejected.headers['retry-after']) >= 1)
   })
 })
--- a/packages/daemon/src/node/limits/__tests__/limitMetrics.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/limitMetrics.test.ts
@@ -7,7 +7,7 @@
 import { eventually, startFleet } from '../../__tests__/startFleet.js'
 
 describe('metrics of limits, retries and ejection', () => {
-  it('reach the StatsD address', async () => {
+  it('are sent to the StatsD address', async () => {
     const statsD = createSocket('udp4')
     let text = ''
     statsD.on('message', (datagram) => {
--- a/packages/daemon/src/node/limits/constants.ts
+++ b/packages/daemon/src/node/limits/constants.ts
@@ -1,2 +1,2 @@
-/** Heartbeat intervals after which a digest is no longer trusted. */
-export const STALE_HEARTBEATS = 1.5
+/** Number of heartbeat intervals after which a digest is stale. */
+export const STALE_AFTER_HEARTBEATS = 1.5
--- a/packages/daemon/src/node/limits/createCustomerLimits.ts
+++ b/packages/daemon/src/node/limits/createCustomerLimits.ts
@@ -12,12 +12,12 @@
 import type { FleetUsage } from './createFleetUsage.js'
 import type { CustomerLimits } from './customerLimits.js'
 
-/** What customer limits work with. */
+/** Options for {@link createCustomerLimits}. */
 export interface CustomerLimitsOptions {
   readonly router: string
-  /** Milliseconds after which a digest is no longer trusted. */
+  /** Age in milliseconds after which a digest is stale. */
   readonly staleMs: number
-  /** Milliseconds for which a silent peer's last digest counts. */
+  /** Milliseconds for which the last digest of an unresponsive peer counts. */
   readonly holdMs: number
   readonly configuration: () => Configuration
   readonly usage: FleetUsage
@@ -25,7 +25,7 @@
   readonly now: () => number
 }
 
-/** Which limit of a customer. */
+/** Kinds of customer limits; the values are metric labels. */
 enum LimitKind {
   InFlight = 'in-flight',
   Rate = 'rate',
@@ -33,14 +33,16 @@
 
 interface CustomerRate {
   readonly ratePerS: number
+  /** Admitted requests. */
   readonly started: RateWindow
+  /** Received requests, rejected ones included. */
   readonly asked: RateWindow
 }
 
 const MS_PER_S = 1_000
 const RETRY_AFTER_S = 1
 
-/** Creates the limits of all customers. */
+/** Creates fleet-wide in-flight and rate limits for all customers. */
 export function createCustomerLimits(
   options: CustomerLimitsOptions,
 ): CustomerLimits {
@@ -48,7 +50,11 @@
   const inFlight = new Map<string, number>()
   const rates = new Map<string, CustomerRate>()
 
-  function refuse(customer: string, kind: LimitKind, retryAfterS: number) {
+  function rejectRequest(
+    customer: string,
+    kind: LimitKind,
+    retryAfterS: number,
+  ) {
     metrics.count('limits.refused', 1, { customer, limit: kind })
     const message = `${customer} has reached its ${kind} limit; send fewer requests or ask your operator for more`
     const { LimitReached } = FailureCode
@@ -56,8 +62,8 @@
   }
 
   function rateOf(customer: string, ratePerS: number): CustomerRate {
-    const known = rates.get(customer)
-    if (known?.ratePerS === ratePerS) return known
+    const existing = rates.get(customer)
+    if (existing?.ratePerS === ratePerS) return existing
     const { windowMs } = toRateLimit(ratePerS)
     const rate = {
       ratePerS,
@@ -68,7 +74,7 @@
     return rate
   }
 
-  function overInFlight(customer: string, limit: number): boolean {
+  function exceedsInFlight(customer: string, limit: number): boolean {
     const peers = usage.peers((digest) => digest.customers[customer] ?? 0)
     const key = `${LimitKind.InFlight}/${customer}`
     const { holdMs } = options
@@ -76,7 +82,7 @@
     return (inFlight.get(customer) ?? 0) >= fleetAllowance(state)
   }
 
-  function overRate(customer: string, rate: CustomerRate): boolean {
+  function exceedsRate(customer: string, rate: CustomerRate): boolean {
     const { count: limit, windowMs: holdMs } = toRateLimit(rate.ratePerS)
     const peers = usage.peers(
       (digest) => digest.started?.[customer] ?? 0,
@@ -88,32 +94,32 @@
     return rate.started.count(now()) >= fleetAllowance(state)
   }
 
-  function count(customer: string, change: number): void {
+  function addInFlight(customer: string, change: number): void {
     const total = (inFlight.get(customer) ?? 0) + change
     if (total === 0) inFlight.delete(customer)
     else inFlight.set(customer, total)
   }
 
   return {
-    take(customer) {
+    acquire(customer) {
       const { maxInFlight, ratePerS } =
         configuration().customers[customer] ?? {}
-      if (maxInFlight !== undefined && overInFlight(customer, maxInFlight))
-        return refuse(customer, LimitKind.InFlight, RETRY_AFTER_S)
+      if (maxInFlight !== undefined && exceedsInFlight(customer, maxInFlight))
+        return rejectRequest(customer, LimitKind.InFlight, RETRY_AFTER_S)
       if (ratePerS !== undefined) {
         const rate = rateOf(customer, ratePerS)
         rate.asked.add(now())
-        if (overRate(customer, rate)) {
+        if (exceedsRate(customer, rate)) {
           const freeS = Math.ceil(rate.started.nextFreeMs(now()) / MS_PER_S)
-          return refuse(customer, LimitKind.Rate, Math.max(1, freeS))
+          return rejectRequest(customer, LimitKind.Rate, Math.max(1, freeS))
         }
         rate.started.add(now())
       }
-      count(customer, 1)
-      let taken = true
+      addInFlight(customer, 1)
+      let held = true
       return ok(() => {
-        if (taken) count(customer, -1)
-        taken = false
+        if (held) addInFlight(customer, -1)
+        held = false
       })
     },
     inFlight: () => Object.fromEntries(inFlight),
--- a/packages/daemon/src/node/limits/createFleetUsage.ts
+++ b/packages/daemon/src/node/limits/createFleetUsage.ts
@@ -2,64 +2,75 @@
 import type { Membership } from '../membership/createMembership.js'
 import type { Digest } from '../peers/heartbeat.js'
 
-/** Reads a use of a limit from a digest. */
-type UseOf = (digest: Digest) => number
+/** Returns the usage of one limit that a digest reports. */
+type UsageReader = (digest: Digest) => number
 
-/** What the other routers of the fleet use, silent ones included. */
+/** Usage of the limits by the other routers of the fleet. */
 export interface FleetUsage {
-  peers(use: UseOf, asked?: UseOf): PeerUsage[]
+  /**
+   * Returns one entry per peer, unresponsive peers included.
+   * @param asked Requests received, rejected ones included. @default 0
+   */
+  peers(used: UsageReader, asked?: UsageReader): PeerUsage[]
 }
 
-/** What a fleet's usage is made of. */
+/** Options for {@link createFleetUsage}. */
 export interface FleetUsageOptions {
   readonly router: string
-  /** Milliseconds for which a silent peer's last digest counts. */
+  /** Milliseconds for which the last digest of an unresponsive peer counts. */
   readonly holdMs: number
   readonly membership: () => Pick<Membership, 'livePeers'>
   readonly vms: () => readonly VmEntry[]
   readonly now: () => number
 }
 
-interface Heard {
+interface ReceivedDigest {
   readonly digest: Digest
-  readonly atMs: number
+  readonly receivedAtMs: number
 }
 
-/** Remembers each peer's last digest after the peer fell silent. */
+/** Creates the usage table; a peer that stops sending digests keeps its last one. */
 export function createFleetUsage(options: FleetUsageOptions): FleetUsage {
   const { router, holdMs, membership, vms, now } = options
-  const heard = new Map<string, Heard>()
+  const received = new Map<string, ReceivedDigest>()
 
-  function listen(): void {
+  function recordDigests(): void {
     for (const { id, heartbeat, ageMs } of membership().livePeers())
-      heard.set(id, { digest: heartbeat.digest, atMs: now() - ageMs })
+      received.set(id, {
+        digest: heartbeat.digest,
+        receivedAtMs: now() - ageMs,
+      })
   }
 
-  function listed(): Set<string> {
+  function listedRouters(): Set<string> {
     const routers = new Set<string>()
     for (const vm of vms())
       if (vm.role === VmRole.Router && vm.id !== router) routers.add(vm.id)
     return routers
   }
 
-  function usageOf(id: string, use: UseOf, asked: UseOf): PeerUsage {
-    const last = heard.get(id)
+  function usageOf(
+    id: string,
+    used: UsageReader,
+    asked: UsageReader,
+  ): PeerUsage {
+    const last = received.get(id)
     if (!last) return { router: id, used: 0, ageMs: Infinity }
-    const { digest, atMs } = last
-    const ageMs = now() - atMs
-    return { router: id, used: use(digest), asked: asked(digest), ageMs }
+    const { digest, receivedAtMs } = last
+    const ageMs = now() - receivedAtMs
+    return { router: id, used: used(digest), asked: asked(digest), ageMs }
   }
 
   return {
-    peers(use, asked = () => 0) {
-      listen()
-      const routers = listed()
-      const peers = [...routers].map((id) => usageOf(id, use, asked))
-      for (const [id, { atMs }] of heard) {
-        if (now() - atMs > holdMs) heard.delete(id)
+    peers(used, asked = () => 0) {
+      recordDigests()
+      const routers = listedRouters()
+      const peers = [...routers].map((id) => usageOf(id, used, asked))
+      for (const [id, { receivedAtMs }] of received) {
+        if (now() - receivedAtMs > holdMs) received.delete(id)
         else if (!routers.has(id)) {
-          // A router off the list counts only for what it may still run.
-          const peer = usageOf(id, use, asked)
+          // A router that left the VM list counts only while it may have requests in flight.
+          const peer = usageOf(id, used, asked)
           if (peer.used > 0) peers.push(peer)
         }
       }
--- a/packages/daemon/src/node/limits/createRetries.ts
+++ b/packages/daemon/src/node/limits/createRetries.ts
@@ -9,21 +9,21 @@
 import type { RoutedRequest } from '../callers/routedRequest.js'
 import type { Metrics } from '../metrics/metrics.js'
 
-/** Decides which failed requests are sent once more. */
+/** Decides which failed requests are retried. */
 export interface Retries {
-  /** Counts a request that is sent for the first time. */
+  /** Adds the first attempt of a request to the retry budget of its service. */
   recordFirstAttempt(request: RoutedRequest): void
-  /** Returns whether to retry; takes the retry out of the budget. */
+  /** Returns whether to retry; a retry is charged to the budget of the service. */
   tryAcquire(request: RoutedRequest, failure: RequestFailure): boolean
 }
 
-const FAILURES_OF_A_TARGET: ReadonlySet<FailureCode> = new Set([
+const TARGET_FAILURES: ReadonlySet<FailureCode> = new Set([
   FailureCode.TargetUnreachable,
   FailureCode.TargetFailed,
   FailureCode.TargetTimeout,
 ])
 
-/** Creates retries with a budget for each service. */
+/** Creates retries with one budget per service. */
 export function createRetries(
   settings: RetryBudgetOptions,
   metrics: Metrics,
@@ -32,8 +32,8 @@
   const budgets = new Map<string, RetryBudget>()
 
   function budgetOf(service: string): RetryBudget {
-    const known = budgets.get(service)
-    if (known) return known
+    const existing = budgets.get(service)
+    if (existing) return existing
     const budget = createRetryBudget(settings)
     budgets.set(service, budget)
     return budget
@@ -45,13 +45,13 @@
     },
     tryAcquire(request, failure) {
       const { service, idempotent, deadlineAtMs = Infinity } = request
-      if (!FAILURES_OF_A_TARGET.has(failure.code)) return false
+      if (!TARGET_FAILURES.has(failure.code)) return false
       const abandoned = request.signal.aborted || epochNow() >= deadlineAtMs
       const { verdict } = failure
       if (!mayRetry({ verdict, idempotent, abandoned })) return false
-      const taken = budgetOf(service).consumeRetry()
-      metrics.count(taken ? 'retries' : 'retries.refused', 1, { service })
-      return taken
+      const acquired = budgetOf(service).consumeRetry()
+      metrics.count(acquired ? 'retries' : 'retries.refused', 1, { service })
+      return acquired
     },
   }
 }
--- a/packages/daemon/src/node/limits/createServiceConcurrency.ts
+++ b/packages/daemon/src/node/limits/createServiceConcurrency.ts
@@ -6,12 +6,12 @@
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import type { FleetUsage } from './createFleetUsage.js'
 
-/** What the concurrency of services is worked out from. */
+/** Options for {@link createServiceConcurrency}. */
 export interface ServiceConcurrencyOptions {
   readonly router: string
-  /** Milliseconds after which a digest is no longer trusted. */
+  /** Age in milliseconds after which a digest is stale. */
   readonly staleMs: number
-  /** Milliseconds for which a silent peer's last digest counts. */
+  /** Milliseconds for which the last digest of an unresponsive peer counts. */
   readonly holdMs: number
   readonly settings: ResolvedSettings['queue']
   readonly configuration: () => Configuration
@@ -20,18 +20,19 @@
   readonly now: () => number
 }
 
-interface Known {
+interface CachedResult {
   readonly cfg: Configuration
-  readonly atMs: number
+  readonly computedAtMs: number
   readonly concurrency: number
 }
 
-/** Milliseconds for which a result is used again; digests come less often. */
-const FRESH_MS = 50
+/** Lifetime of a cached result; digests arrive less often. */
+const CACHE_TTL_MS = 50
 
 /**
- * Returns how many requests of a service this router may have in flight: its
- * share of what the service's targets take, or what its peers leave of it.
+ * Creates a function that returns how many requests of a service this router
+ * may have in flight: its share of the capacity of the service's targets, or
+ * the capacity that its peers leave unused if that is more.
  */
 export function createServiceConcurrency(
   options: ServiceConcurrencyOptions,
@@ -39,9 +40,9 @@
   const { router, staleMs, holdMs, settings, configuration, usage, now } =
     options
 
-  const known = new Map<string, Known>()
+  const cache = new Map<string, CachedResult>()
 
-  function workOut(service: string): number {
+  function compute(service: string): number {
     const ids: string[] = []
     let limit = 0
     for (const [id, target] of Object.entries(configuration().targets)) {
@@ -56,7 +57,7 @@
       return used
     })
     const routers = [router, ...peers.map((peer) => peer.router)]
-    const left = fleetAllowance({
+    const allowance = fleetAllowance({
       limit,
       key: service,
       router,
@@ -64,18 +65,18 @@
       staleMs,
       holdMs,
     })
-    // Its share is a router's own even while busier peers borrow it.
+    // A router may always use its own share, even while peers exceed theirs.
     const share = createFleetShares(limit, service, routers)(router)
-    return Math.min(settings.maxInFlight, Math.max(1, share, left))
+    return Math.min(settings.maxInFlight, Math.max(1, share, allowance))
   }
 
   return (service) => {
     const cfg = configuration()
-    const last = known.get(service)
-    if (last?.cfg === cfg && now() - last.atMs < FRESH_MS)
-      return last.concurrency
-    const concurrency = workOut(service)
-    known.set(service, { cfg, atMs: now(), concurrency })
+    const cached = cache.get(service)
+    if (cached?.cfg === cfg && now() - cached.computedAtMs < CACHE_TTL_MS)
+      return cached.concurrency
+    const concurrency = compute(service)
+    cache.set(service, { cfg, computedAtMs: now(), concurrency })
     return concurrency
   }
 }
--- a/packages/daemon/src/node/limits/customerLimits.ts
+++ b/packages/daemon/src/node/limits/customerLimits.ts
@@ -1,19 +1,20 @@
 import type { RequestFailure } from '@auburnbay/core'
 import type { Result } from 'neverthrow'
 
-/** Counts of requests by customer, within the windows of their rates. */
+/** Number of requests by customer within their rate windows. */
 export interface CustomerRates {
+  /** Admitted requests. */
   readonly started: Record<string, number>
-  /** Refused requests included. */
+  /** Received requests, rejected ones included. */
   readonly asked: Record<string, number>
 }
 
-/** Holds customers to their limits over the whole fleet. */
+/** Enforces the limits of customers over the whole fleet. */
 export interface CustomerLimits {
-  /** Counts one request in; the returned function counts it out. */
-  take(customer: string): Result<() => void, RequestFailure>
-  /** Requests in flight from this router, by customer. */
+  /** Counts one request; the returned function ends its time in flight. */
+  acquire(customer: string): Result<() => void, RequestFailure>
+  /** Number of requests in flight from this router by customer. */
   inFlight(): Record<string, number>
-  /** Requests of late of each customer with a rate. */
+  /** Requests of each customer with a rate limit, within its rate window. */
   rates(): CustomerRates
 }
