--- a/packages/daemon/src/node/routing/__tests__/createUpdatePace.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/createUpdateScheduler.test.ts
@@ -1,20 +1,20 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { createUpdatePace } from '../createUpdatePace.js'
+import { createUpdateScheduler } from '../createUpdateScheduler.js'
 
 function startPace() {
   const state = { nowMs: 0, used: false, updates: 0 }
-  const pace = createUpdatePace({
+  const pace = createUpdateScheduler({
     update: () => {
       state.updates += 1
     },
-    inUse: () => state.used,
-    everyMs: 100,
+    isActive: () => state.used,
+    intervalMs: 100,
     now: () => state.nowMs,
   })
   const turns = (count: number): void => {
     for (let turn = 0; turn < count; turn += 1) {
-      pace.inTurn()
+      pace.updateIfDue()
       state.nowMs += 100
     }
   }
@@ -38,9 +38,9 @@
   it('brings an old view up to date before a request is placed', () => {
     const { state, pace, turns } = startPace()
     turns(5)
-    pace.whenOld()
+    pace.updateIfStale()
     assert.equal(state.updates, 2)
-    pace.whenOld()
+    pace.updateIfStale()
     assert.equal(state.updates, 2)
   })
 })
--- a/packages/daemon/src/node/routing/createExplain.ts
+++ b/packages/daemon/src/node/routing/createExplain.ts
@@ -14,7 +14,7 @@
   readonly eligible: (targetId: string) => boolean
   readonly maxLoadFactor: (service: string) => number
   /** Target that holds a chat, as far as cache events tell this router. */
-  readonly indexed: (key: string) => string | undefined
+  readonly cachedOn: (key: string) => string | undefined
 }
 
 /** Creates the answer to why a chat's next request would go somewhere. */
@@ -22,21 +22,21 @@
   const { tables, load, view, eligible, maxLoadFactor } = options
 
   return (service, customer, chat) => {
-    const table = tables.tableOf(service)
+    const table = tables.get(service)
     const key = chatKey(chat)
     const [group] = table?.ring.groupsOf(key) ?? []
     if (!table || !group) {
       const hintSource = HintSource.None
       return { service, customer, chat, hintSource, candidates: [] }
     }
-    const mean = load.mean(table, eligible)
+    const mean = load.meanLoad(table, eligible)
     const order = rendezvousOrder(key, group.members)
-    const hintedTarget = options.indexed(key)
+    const hintedTarget = options.cachedOn(key)
     const hinted = order.filter(({ id }) => id === hintedTarget)
     const others = order.filter(({ id }) => id !== hintedTarget)
     const candidates = [...hinted, ...others].map(({ id, weight }) => ({
       id,
-      load: load.of(id),
+      load: load.loadOf(id),
       bound:
         maxLoadFactor(service) *
           (mean + 1 / Math.max(1, order.length)) *
@@ -54,7 +54,7 @@
       chat,
       hintSource: hinted.length > 0 ? HintSource.CacheEvents : HintSource.None,
       hintedTarget,
-      home: view.homeOf(group.id),
+      home: view.coordinatorOf(group.id),
       candidates,
       chosen: fits?.id,
     }
--- a/packages/daemon/src/node/routing/createFleetLoad.ts
+++ b/packages/daemon/src/node/routing/createFleetLoad.ts
@@ -1,15 +1,15 @@
 import type { TargetGroup } from '@auburnbay/core'
 import type { Membership } from '../membership/createMembership.js'
-import type { InFlight } from './createInFlight.js'
+import type { InFlightCounts } from './createInFlightCounts.js'
 import type { ServiceTable } from './createServiceTables.js'
 
 /** Requests in flight over the fleet, from the routers' digests. */
 export interface FleetLoad {
-  of(targetId: string): number
+  loadOf(targetId: string): number
   /** Mean load for each unit of weight, over the targets that count. */
-  mean(table: ServiceTable, counts: (targetId: string) => boolean): number
+  meanLoad(table: ServiceTable, counts: (targetId: string) => boolean): number
   /** Whether a group is below its share of the service's load. */
-  hasRoom(group: TargetGroup, mean: number, factor: number): boolean
+  hasCapacity(group: TargetGroup, mean: number, factor: number): boolean
   /** Age of the oldest digest in milliseconds. */
   ageMs(): number
   /** Takes in the digests as they are now. */
@@ -18,18 +18,18 @@
 
 /** Creates the sums over the digests of live routers. */
 export function createFleetLoad(
-  own: InFlight,
+  own: InFlightCounts,
   membership: () => Pick<Membership, 'livePeers'>,
 ): FleetLoad {
   let peers = new Map<string, number>()
   let ageMs = 0
 
   const of = (targetId: string): number =>
-    (peers.get(targetId) ?? 0) + own.of(targetId)
+    (peers.get(targetId) ?? 0) + own.get(targetId)
 
   return {
-    of,
-    mean(table, counts) {
+    loadOf: of,
+    meanLoad(table, counts) {
       let total = 0
       let weights = 0
       for (const group of table.groups) {
@@ -41,7 +41,7 @@
       }
       return weights === 0 ? 0 : total / weights
     },
-    hasRoom(group, mean, factor) {
+    hasCapacity(group, mean, factor) {
       let load = 0
       let weights = 0
       for (const { id, weight } of group.members) {
--- a/packages/daemon/src/node/routing/createFleetView.ts
+++ b/packages/daemon/src/node/routing/createFleetView.ts
@@ -25,9 +25,9 @@
   /** Routers that are alive and not stopping, this one included. */
   routers(): readonly string[]
   /** Router that grants places on a group. */
-  homeOf(groupId: string): string | undefined
+  coordinatorOf(groupId: string): string | undefined
   /** Whether VM list and configuration let a target take new work. */
-  listed(targetId: string): boolean
+  acceptsNewRequests(targetId: string): boolean
   /** Takes in the VM list as it is now. */
   update(tables: readonly ServiceTable[]): void
 }
@@ -35,14 +35,14 @@
 /** Creates the view; a suspect VM list and flapping targets are damped. */
 export function createFleetView(options: FleetViewOptions): FleetView {
   const guards = new Map<string, TargetListGuard>()
-  const damper = createFlapDamper()
-  const homes = new Map<string, string | undefined>()
-  let accepted = new Set<string>()
-  let leaving = new Set<string>()
-  let known = new Set<string>()
+  const flapDamper = createFlapDamper()
+  const coordinators = new Map<string, string | undefined>()
+  let acceptedIds = new Set<string>()
+  let departingIds = new Set<string>()
+  let listedIds = new Set<string>()
   let routers: string[] = [options.router]
-  const everListed = new Set<string>()
-  let seenVms: readonly VmEntry[] | undefined
+  const everListedIds = new Set<string>()
+  let lastVms: readonly VmEntry[] | undefined
 
   function guardOf(service: string): TargetListGuard {
     const guard = guards.get(service)
@@ -61,48 +61,48 @@
     const next = [options.router, ...live].sort()
     if (next.join('\n') === routers.join('\n')) return
     routers = next
-    homes.clear()
+    coordinators.clear()
   }
 
-  function readVms(): void {
+  function updateVms(): void {
     const vms = options.vms()
-    if (vms === seenVms) return
-    seenVms = vms
-    known = new Set(vms.map(({ id }) => id))
-    leaving = new Set()
+    if (vms === lastVms) return
+    lastVms = vms
+    listedIds = new Set(vms.map(({ id }) => id))
+    departingIds = new Set()
     for (const { id, state } of vms)
-      if (state === MemberState.Leaving) leaving.add(id)
+      if (state === MemberState.Leaving) departingIds.add(id)
   }
 
   return {
     routers: () => routers,
-    homeOf(groupId) {
-      if (!homes.has(groupId))
-        homes.set(groupId, selectCoordinator(groupId, routers))
-      return homes.get(groupId)
+    coordinatorOf(groupId) {
+      if (!coordinators.has(groupId))
+        coordinators.set(groupId, selectCoordinator(groupId, routers))
+      return coordinators.get(groupId)
     },
-    listed(targetId) {
+    acceptsNewRequests(targetId) {
       if (options.configuration().targets[targetId]?.draining) return false
-      return accepted.has(targetId) && !leaving.has(targetId)
+      return acceptedIds.has(targetId) && !departingIds.has(targetId)
     },
     update(tables) {
       updateRouters()
-      readVms()
+      updateVms()
       const nowMs = options.now()
       const next = new Set<string>()
       for (const { service, targets } of tables) {
         // Targets need not be on the list; those that were on it must stay.
         const present = [...targets.keys()].filter(
-          (id) => known.has(id) || !everListed.has(id),
+          (id) => listedIds.has(id) || !everListedIds.has(id),
         )
         for (const id of guardOf(service).accept(present, nowMs)) next.add(id)
         for (const id of targets.keys()) {
-          if (known.has(id)) everListed.add(id)
-          const there = next.has(id) && !leaving.has(id)
-          if (!damper.update(id, there, nowMs)) next.delete(id)
+          if (listedIds.has(id)) everListedIds.add(id)
+          const there = next.has(id) && !departingIds.has(id)
+          if (!flapDamper.update(id, there, nowMs)) next.delete(id)
         }
       }
-      accepted = next
+      acceptedIds = next
     },
   }
 }
--- a/packages/daemon/src/node/routing/createGroupTask.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocator.ts
@@ -18,11 +18,11 @@
 import type { FleetView } from './createFleetView.js'
 
 /** What a group's task works with. */
-export interface GroupTaskOptions {
+export interface GroupAllocatorOptions {
   readonly group: TargetGroup
   readonly router: string
   readonly incarnation: string
-  readonly homeLimitMs: number
+  readonly coordinatorTimeoutMs: number
   readonly maxAgeMs: number
   readonly view: FleetView
   readonly client: Pick<PeerClient, 'grant' | 'collect'>
@@ -31,44 +31,46 @@
   readonly maxLoadFactor: () => number
   readonly serviceMean: () => number | undefined
   readonly eligible: (targetId: string) => boolean
-  readonly reported: (targetId: string) => number | undefined
+  readonly reportedLoad: (targetId: string) => number | undefined
   /** Target that holds a chat, as far as the home knows. */
-  readonly indexed: (key: string) => string | undefined
+  readonly cachedOn: (key: string) => string | undefined
   /** Called for each decision. */
-  readonly onPlaced: (placed: TargetSelection) => void
+  readonly onAllocated: (placed: TargetSelection) => void
 }
 
 /** A digest of all routers for one group. */
-export interface GroupDigest {
+export interface GroupLoad {
   /** Requests in flight by target, from all routers. */
-  readonly known: readonly number[]
+  readonly inFlight: readonly number[]
   readonly ageMs: number
 }
 
 /** One group on one router: asks the home, or is the home. */
-export interface GroupTask {
+export interface GroupAllocator {
   readonly group: TargetGroup
   /** Whether this router grants places on the group now. */
-  readonly granting: boolean
+  readonly isCoordinating: boolean
   /** When a place on the group was last asked for here, on the monotonic clock. */
-  readonly askedAtMs: number
-  place(want: PlacementRequest): Promise<TargetSelection>
+  readonly lastRequestAtMs: number
+  allocate(want: PlacementRequest): Promise<TargetSelection>
   /** Counts a request that is already in flight. */
-  adopt(index: number): void
-  finished(index: number): void
-  ask(ask: GrantRequest): GrantResponse
-  collect(ask: CollectRequest): CollectResponse
+  recordInFlight(index: number): void
+  release(index: number): void
+  onGrant(ask: GrantRequest): GrantResponse
+  onCollect(ask: CollectRequest): CollectResponse
   /** Takes in the view and sends what is due. */
   update(): void
-  refresh(digest: GroupDigest): void
+  refreshQuota(digest: GroupLoad): void
 }
 
 /** Creates the task of one group. */
-export function createGroupTask(options: GroupTaskOptions): GroupTask {
+export function createGroupAllocator(
+  options: GroupAllocatorOptions,
+): GroupAllocator {
   const { group, router, view, client, now } = options
   const holder = createCreditPool(options)
   const shares = createFallbackQuota(group, router)
-  const { homeLimitMs } = options
+  const { coordinatorTimeoutMs: homeLimitMs } = options
   const placer = createGroupTargetSelector({
     group,
     creditPool: holder,
@@ -86,7 +88,7 @@
   }
 
   function placerView(): SelectionContext {
-    const homeId = view.homeOf(group.id)
+    const homeId = view.coordinatorOf(group.id)
     const isHome = homeId === router
     return {
       nowMs: now(),
@@ -102,7 +104,7 @@
       maxLoadFactor: options.maxLoadFactor(),
       serviceMean: options.serviceMean(),
       eligible,
-      reported: (index) => options.reported(group.members[index]?.id ?? ''),
+      reported: (index) => options.reportedLoad(group.members[index]?.id ?? ''),
     }
   }
 
@@ -116,7 +118,7 @@
   function withHints(ask: GrantRequest): GrantRequest {
     const wants = ask.wants.map((want) => {
       if (want.hint !== undefined) return want
-      const id = options.indexed(want.key)
+      const id = options.cachedOn(want.key)
       const index = group.members.findIndex((member) => member.id === id)
       return index < 0 ? want : { ...want, hint: index }
     })
@@ -131,7 +133,7 @@
   function send(): void {
     const ask = placer.nextGrantRequest(placerView())
     if (!ask) return
-    const to = view.homeOf(group.id)
+    const to = view.coordinatorOf(group.id)
     if (to === router) {
       settle(
         placer.applyGrantResponse(ask.sequence, answerAsk(ask), placerView()),
@@ -183,18 +185,18 @@
 
   return {
     group,
-    get granting() {
+    get isCoordinating() {
       return home.granting
     },
-    get askedAtMs() {
+    get lastRequestAtMs() {
       return askedAtMs
     },
-    place(want) {
+    allocate(want) {
       lastRequest += 1
       const requestId = lastRequest
       return new Promise((resolve) => {
         const settled = (placed: TargetSelection): void => {
-          options.onPlaced(placed)
+          options.onAllocated(placed)
           resolve(placed)
         }
         const placed = placer.select(requestId, want, placerView())
@@ -207,19 +209,19 @@
         if (waiting.has(requestId)) setTimeout(expire, homeLimitMs)
       })
     },
-    adopt: (index) => {
+    recordInFlight: (index) => {
       holder.addInFlight(index)
     },
-    finished(index) {
+    release(index) {
       placer.release(index)
       send()
     },
-    ask: answerAsk,
-    collect: (ask) => holder.handleCollectRequest(ask),
+    onGrant: answerAsk,
+    onCollect: (ask) => holder.handleCollectRequest(ask),
     update() {
       const routers = view.routers()
       const { epoch } = holder
-      const homeId = view.homeOf(group.id)
+      const homeId = view.coordinatorOf(group.id)
       const calls = home.update({
         coordinator: homeId,
         routers,
@@ -229,7 +231,7 @@
       for (const { to, request: ask } of calls) collectFrom(to, ask)
       send()
     },
-    refresh({ known, ageMs }) {
+    refreshQuota({ inFlight: known, ageMs }) {
       const { maxAgeMs } = options
       const maxLoadFactor = options.maxLoadFactor()
       const routers = view.routers()
--- a/packages/daemon/src/node/routing/createGroupTasks.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocators.ts
@@ -6,27 +6,27 @@
   TargetGroup,
 } from '@auburnbay/core'
 import { GrantStatus } from '@auburnbay/core'
-import type { GroupTask } from './createGroupTask.js'
+import type { GroupAllocator } from './createGroupAllocator.js'
 
 /** The tasks of all groups on this router. */
-export interface GroupTasks {
-  of(group: TargetGroup): GroupTask
-  all(): readonly GroupTask[]
+export interface GroupAllocators {
+  getOrCreate(group: TargetGroup): GroupAllocator
+  all(): readonly GroupAllocator[]
   /** Ends the tasks of groups that are no longer there. */
-  keep(groups: readonly TargetGroup[]): void
+  retain(groups: readonly TargetGroup[]): void
   onGrant(ask: GrantRequest): GrantResponse
   onCollect(ask: CollectRequest): CollectResponse
 }
 
 /** Creates tasks on demand; a group with other members gets a new task. */
-export function createGroupTasks(
+export function createGroupAllocators(
   router: string,
   incarnation: string,
-  createTask: (group: TargetGroup) => GroupTask,
-): GroupTasks {
-  const tasks = new Map<string, GroupTask>()
+  createTask: (group: TargetGroup) => GroupAllocator,
+): GroupAllocators {
+  const tasks = new Map<string, GroupAllocator>()
 
-  function of(group: TargetGroup): GroupTask {
+  function of(group: TargetGroup): GroupAllocator {
     const known = tasks.get(group.id)
     if (known?.group.membersHash === group.membersHash) return known
     const created = createTask(group)
@@ -35,15 +35,15 @@
   }
 
   return {
-    of,
+    getOrCreate: of,
     all: () => [...tasks.values()],
-    keep(groups) {
+    retain(groups) {
       const ids = new Set(groups.map(({ id }) => id))
       for (const id of tasks.keys()) if (!ids.has(id)) tasks.delete(id)
     },
     onGrant(ask) {
       const task = tasks.get(ask.group)
-      if (task) return task.ask(ask)
+      if (task) return task.onGrant(ask)
       const granted = ask.wants.map(() => -1)
       return {
         status: GrantStatus.NotCoordinator,
@@ -54,7 +54,7 @@
     },
     onCollect(ask) {
       const task = tasks.get(ask.group)
-      if (task) return task.collect(ask)
+      if (task) return task.onCollect(ask)
       return { accepted: false, epoch: 0, router, incarnation, used: [] }
     },
   }
--- a/packages/daemon/src/node/routing/createWant.ts
+++ b/packages/daemon/src/node/routing/createPlacementRequest.ts
@@ -2,7 +2,7 @@
 import type { GroupedTarget } from './createServiceTables.js'
 
 /** Creates what a request asks of a group. */
-export function createWant(
+export function createPlacementRequest(
   group: TargetGroup,
   key: string,
   hint: GroupedTarget | undefined,
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -21,18 +21,18 @@
 import { createExplain } from './createExplain.js'
 import { createFleetLoad } from './createFleetLoad.js'
 import { createFleetView } from './createFleetView.js'
-import { createGroupTask } from './createGroupTask.js'
-import { createGroupTasks } from './createGroupTasks.js'
-import { createInFlight } from './createInFlight.js'
+import { createGroupAllocator } from './createGroupAllocator.js'
+import { createGroupAllocators } from './createGroupAllocators.js'
+import { createInFlightCounts } from './createInFlightCounts.js'
 import {
   createServiceTables,
   type GroupedTarget,
 } from './createServiceTables.js'
-import { createUpdatePace } from './createUpdatePace.js'
-import { createWant } from './createWant.js'
+import { createUpdateScheduler } from './createUpdateScheduler.js'
+import { createPlacementRequest } from './createPlacementRequest.js'
 import { createStatus } from './createStatus.js'
-import { homeTargets } from './homeTargets.js'
-import { findHint } from './findHint.js'
+import { listCoordinatedTargets } from './listCoordinatedTargets.js'
+import { resolveHint } from './resolveHint.js'
 import type { CoordinatorRouting, TargetSlot, Routing } from './routing.js'
 
 /** What the choice of targets works with. */
@@ -52,9 +52,9 @@
 }
 
 const RETRY_AFTER_S = 1
-const UPDATE_MS = 100
+const UPDATE_INTERVAL_MS = 100
 /** Rounds of reports that a group still gets after its last request has ended. */
-const REPORTS_AFTER_USE = 3
+const IDLE_REPORT_ROUNDS = 3
 
 /** Creates routing by grants of each group's home router. */
 export function createRouting(options: RoutingOptions): CoordinatorRouting {
@@ -62,7 +62,7 @@
     options
   const router = settings.router.id
   const tables = createServiceTables(configuration)
-  const inFlight = createInFlight()
+  const inFlight = createInFlightCounts()
   const load = createFleetLoad(inFlight, membership)
   const { maxVanished } = settings.routing
   const { vms } = options
@@ -77,13 +77,13 @@
   let refreshedAtMs = -Infinity
 
   const eligible = (id: string): boolean =>
-    view.listed(id) && options.eligible(id, true)
+    view.acceptsNewRequests(id) && options.eligible(id, true)
 
   /** A group without requests has no load to report and no new cache events. */
-  function inUse(group: TargetGroup): boolean {
-    const idleMs = now() - tasks.of(group).askedAtMs
-    if (idleMs <= REPORTS_AFTER_USE * settings.targets.reportMs) return true
-    return group.members.some(({ id }) => load.of(id) > 0)
+  function isActive(group: TargetGroup): boolean {
+    const idleMs = now() - allocators.getOrCreate(group).lastRequestAtMs
+    if (idleMs <= IDLE_REPORT_ROUNDS * settings.targets.reportMs) return true
+    return group.members.some(({ id }) => load.loadOf(id) > 0)
   }
 
   function addressOf(peer: string): string | undefined {
@@ -97,18 +97,18 @@
   }
 
   function serviceMean(service: string): number | undefined {
-    const table = tables.tableOf(service)
+    const table = tables.get(service)
     if (!table || table.groups.length < 2) return undefined
-    return load.mean(table, eligible)
+    return load.meanLoad(table, eligible)
   }
 
-  const tasks = createGroupTasks(router, incarnation, (group) => {
+  const allocators = createGroupAllocators(router, incarnation, (group) => {
     const { service, membersHash } = group
-    const task = createGroupTask({
+    const task = createGroupAllocator({
       group,
       router,
       incarnation: `${incarnation}/${membersHash.toString(36)}`,
-      homeLimitMs: settings.routing.homeLimitMs,
+      coordinatorTimeoutMs: settings.routing.homeLimitMs,
       maxAgeMs: settings.peers.timeoutMs,
       view,
       client: options.client,
@@ -117,23 +117,24 @@
       maxLoadFactor: () => maxLoadFactor(service),
       serviceMean: () => serviceMean(service),
       eligible,
-      reported: (id) => options.reporter().report(id)?.inFlight,
-      indexed: (key) => options.cacheEvents().targetOf(key),
-      onPlaced: ({ source, waitedMs }) => {
+      reportedLoad: (id) => options.reporter().report(id)?.inFlight,
+      cachedOn: (key) => options.cacheEvents().targetOf(key),
+      onAllocated: ({ source, waitedMs }) => {
         metrics.count('placements', 1, { service, source })
         metrics.timing('decision_wait', waitedMs, { service })
       },
     })
     for (const [index, { id }] of group.members.entries())
-      for (let count = inFlight.of(id); count > 0; count -= 1) task.adopt(index)
+      for (let count = inFlight.get(id); count > 0; count -= 1)
+        task.recordInFlight(index)
     return task
   })
 
   function refresh(): void {
     load.update()
-    for (const task of tasks.all()) {
-      const known = task.group.members.map(({ id }) => load.of(id))
-      task.refresh({ known, ageMs: load.ageMs() })
+    for (const task of allocators.all()) {
+      const known = task.group.members.map(({ id }) => load.loadOf(id))
+      task.refreshQuota({ inFlight: known, ageMs: load.ageMs() })
     }
     refreshedAtMs = now()
   }
@@ -142,20 +143,20 @@
     const all = tables.all()
     view.update(all)
     const groups = all.flatMap((table) => table.groups)
-    tasks.keep(groups)
-    for (const group of groups) tasks.of(group).update()
+    allocators.retain(groups)
+    for (const group of groups) allocators.getOrCreate(group).update()
     if (now() - refreshedAtMs >= settings.peers.heartbeatMs) refresh()
   }
 
-  const everyMs = Math.min(UPDATE_MS, settings.peers.heartbeatMs)
-  const pace = createUpdatePace({
+  const everyMs = Math.min(UPDATE_INTERVAL_MS, settings.peers.heartbeatMs)
+  const updates = createUpdateScheduler({
     update,
-    inUse: () => tables.all().some((table) => table.groups.some(inUse)),
-    everyMs,
+    isActive: () => tables.all().some((table) => table.groups.some(isActive)),
+    intervalMs: everyMs,
     now,
   })
 
-  function hold(
+  function acquireSlot(
     request: RoutedRequest,
     target: GroupedTarget,
     group: TargetGroup,
@@ -163,9 +164,9 @@
     let released = false
     inFlight.add(target.id, 1)
     // A task made while the request waited has not counted it.
-    const current = tables.target(target.id)
+    const current = tables.getTarget(target.id)
     if (current && current.group.membersHash !== group.membersHash)
-      tasks.of(current.group).adopt(current.index)
+      allocators.getOrCreate(current.group).recordInFlight(current.index)
     const { customer, service, chat, serviceKind } = request
     const owner = { customer, service, chat }
     const hinted = serviceKind === ServiceKind.Model && chat !== ''
@@ -178,28 +179,28 @@
         if (released) return
         released = true
         inFlight.add(target.id, -1)
-        const now = tables.target(target.id)
-        if (now) tasks.of(now.group).finished(now.index)
+        const now = tables.getTarget(target.id)
+        if (now) allocators.getOrCreate(now.group).release(now.index)
       },
     }
   }
 
   async function place(request: RoutedRequest, excluded: ReadonlySet<string>) {
-    const table = tables.tableOf(request.service)
-    pace.whenOld()
+    const table = tables.get(request.service)
+    updates.updateIfStale()
     const key = chatKey(request.chat === '' ? request.id : request.chat)
-    const hinted = findHint(settings.secrets.hint, request)
+    const hinted = resolveHint(settings.secrets.hint, request)
     const hint = hinted === undefined ? undefined : table?.targets.get(hinted)
     const factor = maxLoadFactor(request.service)
     const choice = { load, key, hint, maxLoadFactor: factor, eligible }
     for (const group of table ? chooseGroups({ table, ...choice }) : []) {
       const barred = (id: string): boolean =>
         excluded.has(id) || !options.eligible(id, request.idempotent)
-      const want = createWant(group, key, hint, barred)
-      const placed = await tasks.of(group).place(want)
+      const want = createPlacementRequest(group, key, hint, barred)
+      const placed = await allocators.getOrCreate(group).allocate(want)
       const id = group.members[placed.index]?.id ?? ''
       const target = table?.targets.get(id)
-      if (target) return ok(hold(request, target, group))
+      if (target) return ok(acquireSlot(request, target, group))
     }
     const message = `no target of ${request.service} can take the request`
     return err(
@@ -213,12 +214,12 @@
     view,
     eligible,
     maxLoadFactor,
-    indexed: (key) => options.cacheEvents().targetOf(key),
+    cachedOn: (key) => options.cacheEvents().targetOf(key),
   })
 
   const loop = createLoop(
     () => {
-      pace.inTurn()
+      updates.updateIfDue()
       return Promise.resolve()
     },
     everyMs,
@@ -229,19 +230,19 @@
     place,
     status: createStatus({ tables, load, eligible, maxLoadFactor }),
     explain,
-    ownInFlight: () => inFlight.all(),
+    ownInFlight: () => inFlight.toRecord(),
     onGrant: (ask) => {
-      pace.whenOld()
-      return tasks.onGrant(ask)
+      updates.updateIfStale()
+      return allocators.onGrant(ask)
     },
-    onCollect: (ask) => tasks.onCollect(ask),
+    onCollect: (ask) => allocators.onCollect(ask),
     coordinatedTargets: (resting) =>
-      homeTargets(
+      listCoordinatedTargets(
         configuration,
         tables,
         view,
         router,
-        (group) => resting || inUse(group),
+        (group) => resting || isActive(group),
       ),
     stop: () => loop.stop(),
   }
--- a/packages/daemon/src/node/routing/createServiceTables.ts
+++ b/packages/daemon/src/node/routing/createServiceTables.ts
@@ -24,9 +24,9 @@
 
 /** Tables of all services. */
 export interface ServiceTables {
-  tableOf(service: string): ServiceTable | undefined
+  get(service: string): ServiceTable | undefined
   all(): readonly ServiceTable[]
-  target(id: string): GroupedTarget | undefined
+  getTarget(id: string): GroupedTarget | undefined
 }
 
 function createTable(
@@ -68,9 +68,9 @@
   }
 
   return {
-    tableOf: (service) => current().get(service),
+    get: (service) => current().get(service),
     all: () => [...current().values()],
-    target(id) {
+    getTarget(id) {
       const service = configuration().targets[id]?.service
       return service === undefined
         ? undefined
--- a/packages/daemon/src/node/routing/createStatus.ts
+++ b/packages/daemon/src/node/routing/createStatus.ts
@@ -15,14 +15,14 @@
   const { tables, load, eligible, maxLoadFactor } = options
 
   function statusOf(table: ServiceTable): TargetStatus[] {
-    const mean = load.mean(table, eligible)
+    const mean = load.meanLoad(table, eligible)
     const factor = maxLoadFactor(table.service)
     const members = table.groups.flatMap((group) => group.members)
     return members.map(({ id, weight }) => ({
       id,
       service: table.service,
       address: table.targets.get(id)?.address ?? '',
-      load: load.of(id),
+      load: load.loadOf(id),
       bound: factor * mean * weight + 1,
     }))
   }
--- a/packages/daemon/src/node/routing/createUpdatePace.ts
+++ b/packages/daemon/src/node/routing/createUpdateScheduler.ts
@@ -1,27 +1,29 @@
 /** When the view of the fleet is brought up to date. */
-export interface UpdatePace {
+export interface UpdateScheduler {
   /** Updates a view that an idle router has let grow old. */
-  whenOld(): void
+  updateIfStale(): void
   /** Updates when it is time to; an idle router seldom does. */
-  inTurn(): void
+  updateIfDue(): void
 }
 
 /** What the pace works with. */
-export interface UpdatePaceOptions {
+export interface UpdateSchedulerOptions {
   readonly update: () => void
   /** Whether any group is in use. */
-  readonly inUse: () => boolean
+  readonly isActive: () => boolean
   /** Milliseconds between two updates while a group is in use. */
-  readonly everyMs: number
+  readonly intervalMs: number
   readonly now: () => number
 }
 
 /** Milliseconds between two updates while no group is in use. */
-const IDLE_UPDATE_MS = 500
+const IDLE_UPDATE_INTERVAL_MS = 500
 
 /** Creates the pace of updates. */
-export function createUpdatePace(options: UpdatePaceOptions): UpdatePace {
-  const { update, inUse, everyMs, now } = options
+export function createUpdateScheduler(
+  options: UpdateSchedulerOptions,
+): UpdateScheduler {
+  const { update, isActive: inUse, intervalMs: everyMs, now } = options
   let updatedAtMs = -Infinity
 
   const ageMs = (): number => now() - updatedAtMs
@@ -32,11 +34,11 @@
   }
 
   return {
-    whenOld() {
+    updateIfStale() {
       if (ageMs() > 2 * everyMs) run()
     },
-    inTurn() {
-      if (ageMs() >= IDLE_UPDATE_MS || inUse()) run()
+    updateIfDue() {
+      if (ageMs() >= IDLE_UPDATE_INTERVAL_MS || inUse()) run()
     },
   }
 }
--- a/packages/daemon/src/node/routing/homeTargets.ts
+++ b/packages/daemon/src/node/routing/listCoordinatedTargets.ts
@@ -7,7 +7,7 @@
 import type { GroupedTarget, ServiceTables } from './createServiceTables.js'
 
 /** Lists the engines of the groups that `router` is the home of. */
-export function homeTargets(
+export function listCoordinatedTargets(
   configuration: () => Configuration,
   tables: ServiceTables,
   view: FleetView,
@@ -19,7 +19,7 @@
   for (const { service, targets } of tables.all()) {
     if (services[service]?.kind !== ServiceKind.Model) continue
     for (const target of targets.values()) {
-      if (view.homeOf(target.group.id) !== router) continue
+      if (view.coordinatorOf(target.group.id) !== router) continue
       if (polled(target.group)) found.push(target)
     }
   }
--- a/packages/daemon/src/node/routing/findHint.ts
+++ b/packages/daemon/src/node/routing/resolveHint.ts
@@ -2,7 +2,7 @@
 import type { RoutedRequest } from '../callers/routedRequest.js'
 
 /** Returns the target that a request's own genuine hint names. */
-export function findHint(
+export function resolveHint(
   secret: string,
   request: RoutedRequest,
 ): string | undefined {
