--- a/packages/daemon/src/node/routing/__tests__/cacheEvents.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/cacheEvents.test.ts
@@ -37,16 +37,19 @@
       url: `${fleet.adminUrl()}/explain?service=briefing&chat=${chat}`,
       headers: { authorization: `Bearer ${TEST_ADMIN_TOKEN}` },
     })
-    const found = JSON.parse(answer.text) as Record<string, unknown>
-    assert.equal(found.hintSource, found.hintedTarget ? 'cache-events' : 'none')
-    return found.hintedTarget
+    const explanation = JSON.parse(answer.text) as Record<string, unknown>
+    assert.equal(
+      explanation.hintSource,
+      explanation.hintedTarget ? 'cache-events' : 'none',
+    )
+    return explanation.hintedTarget
   }
 
-  it('lead a chat without a hint to the target that holds it, until a gap', async () => {
-    const usual = await targetOf('floe')
-    const other = usual === 'engine-1' ? 'engine-2' : 'engine-1'
+  it('route a chat without a hint to the target that has it cached, until a gap in the events', async () => {
+    const preferred = await targetOf('floe')
+    const other = preferred === 'engine-1' ? 'engine-2' : 'engine-1'
     const owner = { customer: 'corrib', service: 'briefing', chat: 'floe' }
-    await eventually(async () => (await hintedTarget('floe')) === usual)
+    await eventually(async () => (await hintedTarget('floe')) === preferred)
     const moved = signHint(HINT_SECRET, owner, other)
     assert.equal(await targetOf('floe', moved), other)
     await eventually(async () => (await hintedTarget('floe')) === other)
@@ -62,6 +65,6 @@
       signHint(HINT_SECRET, { ...owner, chat: 'lead' }, other),
     )
     await eventually(async () => (await hintedTarget('floe')) === undefined)
-    assert.equal(await targetOf('floe'), usual)
+    assert.equal(await targetOf('floe'), preferred)
   })
 })
--- a/packages/daemon/src/node/routing/__tests__/createUpdateScheduler.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/createUpdateScheduler.test.ts
@@ -2,45 +2,45 @@
 import { describe, it } from 'node:test'
 import { createUpdateScheduler } from '../createUpdateScheduler.js'
 
-function startPace() {
-  const state = { nowMs: 0, used: false, updates: 0 }
-  const pace = createUpdateScheduler({
+function setUp() {
+  const state = { nowMs: 0, active: false, updates: 0 }
+  const scheduler = createUpdateScheduler({
     update: () => {
       state.updates += 1
     },
-    isActive: () => state.used,
+    isActive: () => state.active,
     intervalMs: 100,
     now: () => state.nowMs,
   })
-  const turns = (count: number): void => {
-    for (let turn = 0; turn < count; turn += 1) {
-      pace.updateIfDue()
+  const runIntervals = (count: number): void => {
+    for (let interval = 0; interval < count; interval += 1) {
+      scheduler.updateIfDue()
       state.nowMs += 100
     }
   }
-  return { state, pace, turns }
+  return { state, scheduler, runIntervals }
 }
 
-describe('the pace of updates', () => {
-  it('is one each 500 ms while nothing is in use', () => {
-    const { state, turns } = startPace()
-    turns(50)
+describe('createUpdateScheduler', () => {
+  it('updates every 500 ms while no group is active', () => {
+    const { state, runIntervals } = setUp()
+    runIntervals(50)
     assert.equal(state.updates, 10)
   })
 
-  it('is each turn while a group is in use', () => {
-    const { state, turns } = startPace()
-    state.used = true
-    turns(50)
+  it('updates every interval while a group is active', () => {
+    const { state, runIntervals } = setUp()
+    state.active = true
+    runIntervals(50)
     assert.equal(state.updates, 50)
   })
 
-  it('brings an old view up to date before a request is placed', () => {
-    const { state, pace, turns } = startPace()
-    turns(5)
-    pace.updateIfStale()
+  it('updates a stale view on demand', () => {
+    const { state, scheduler, runIntervals } = setUp()
+    runIntervals(5)
+    scheduler.updateIfStale()
     assert.equal(state.updates, 2)
-    pace.updateIfStale()
+    scheduler.updateIfStale()
     assert.equal(state.updates, 2)
   })
 })
--- a/packages/daemon/src/node/routing/chooseGroups.ts
+++ b/packages/daemon/src/node/routing/chooseGroups.ts
@@ -2,25 +2,26 @@
 import type { FleetLoad } from './createFleetLoad.js'
 import type { GroupedTarget, ServiceTable } from './createServiceTables.js'
 
-/** What the choice of groups goes by. */
+/** Options for {@link chooseGroups}. */
 export interface ChooseGroupsOptions {
   readonly table: ServiceTable
   readonly load: FleetLoad
+  /** Key of the chat, or of the request if it has no chat. */
   readonly key: string
-  /** Target that holds the chat already. */
+  /** Target whose cache has the chat. */
   readonly hint: GroupedTarget | undefined
   readonly maxLoadFactor: number
   readonly eligible: (targetId: string) => boolean
 }
 
-/** Groups that a request tries before it waits. */
+/** Maximum number of groups that a request tries before it waits. */
 const MAX_GROUPS_PER_REQUEST = 3
 
-/** Lists the groups that a request tries: that of its holder, then those with room. */
+/** Returns the groups to try in order: the hinted target's group, then those with spare capacity. */
 export function chooseGroups(choice: ChooseGroupsOptions): TargetGroup[] {
   const { table, load, key, hint, maxLoadFactor, eligible } = choice
   if (table.groups.length === 1) return [...table.groups]
-  const mean = load.meanLoad(table, eligible)
+  const mean = load.mean(table, eligible)
   const chosen: TargetGroup[] = hint ? [hint.group] : []
   for (const group of table.ring.groupsOf(key)) {
     if (chosen.length >= MAX_GROUPS_PER_REQUEST) break
--- a/packages/daemon/src/node/routing/createExplain.ts
+++ b/packages/daemon/src/node/routing/createExplain.ts
@@ -6,18 +6,18 @@
 import type { Routing } from './routing.js'
 import { HintSource } from './routingExplanation.js'
 
-/** What an explanation works with. */
+/** Options for {@link createExplain}. */
 export interface ExplainOptions {
   readonly tables: ServiceTables
   readonly load: FleetLoad
   readonly view: FleetView
   readonly eligible: (targetId: string) => boolean
   readonly maxLoadFactor: (service: string) => number
-  /** Target that holds a chat, as far as cache events tell this router. */
+  /** Target whose cache has a chat according to its cache events. */
   readonly cachedOn: (key: string) => string | undefined
 }
 
-/** Creates the answer to why a chat's next request would go somewhere. */
+/** Creates the function that explains where a chat's next request would go. */
 export function createExplain(options: ExplainOptions): Routing['explain'] {
   const { tables, load, view, eligible, maxLoadFactor } = options
 
@@ -29,14 +29,14 @@
       const hintSource = HintSource.None
       return { service, customer, chat, hintSource, candidates: [] }
     }
-    const mean = load.meanLoad(table, eligible)
+    const mean = load.mean(table, eligible)
     const order = rendezvousOrder(key, group.members)
     const hintedTarget = options.cachedOn(key)
     const hinted = order.filter(({ id }) => id === hintedTarget)
     const others = order.filter(({ id }) => id !== hintedTarget)
     const candidates = [...hinted, ...others].map(({ id, weight }) => ({
       id,
-      load: load.loadOf(id),
+      load: load.get(id),
       bound:
         maxLoadFactor(service) *
           (mean + 1 / Math.max(1, order.length)) *
@@ -44,7 +44,7 @@
         1,
       eligible: eligible(id),
     }))
-    const fits = candidates.find(
+    const chosen = candidates.find(
       (candidate) =>
         candidate.eligible && candidate.load + 1 <= candidate.bound,
     )
@@ -56,7 +56,7 @@
       hintedTarget,
       home: view.coordinatorOf(group.id),
       candidates,
-      chosen: fits?.id,
+      chosen: chosen?.id,
     }
   }
 }
--- a/packages/daemon/src/node/routing/createFleetLoad.ts
+++ b/packages/daemon/src/node/routing/createFleetLoad.ts
@@ -3,39 +3,39 @@
 import type { InFlightCounts } from './createInFlightCounts.js'
 import type { ServiceTable } from './createServiceTables.js'
 
-/** Requests in flight over the fleet, from the routers' digests. */
+/** Requests in flight by target, summed over the digests of all routers. */
 export interface FleetLoad {
-  loadOf(targetId: string): number
-  /** Mean load for each unit of weight, over the targets that count. */
-  meanLoad(table: ServiceTable, counts: (targetId: string) => boolean): number
-  /** Whether a group is below its share of the service's load. */
+  get(targetId: string): number
+  /** Mean load per unit of weight over the targets that `includes` accepts. */
+  mean(table: ServiceTable, includes: (targetId: string) => boolean): number
+  /** Whether one more request keeps the group within its load bound. */
   hasCapacity(group: TargetGroup, mean: number, factor: number): boolean
   /** Age of the oldest digest in milliseconds. */
   ageMs(): number
-  /** Takes in the digests as they are now. */
+  /** Recomputes the loads from the current digests. */
   update(): void
 }
 
-/** Creates the sums over the digests of live routers. */
+/** Creates the loads from this router's counts and the digests of live peers. */
 export function createFleetLoad(
   own: InFlightCounts,
   membership: () => Pick<Membership, 'livePeers'>,
 ): FleetLoad {
-  let peers = new Map<string, number>()
+  let peerLoads = new Map<string, number>()
   let ageMs = 0
 
-  const of = (targetId: string): number =>
-    (peers.get(targetId) ?? 0) + own.get(targetId)
+  const loadOf = (targetId: string): number =>
+    (peerLoads.get(targetId) ?? 0) + own.get(targetId)
 
   return {
-    loadOf: of,
-    meanLoad(table, counts) {
+    get: loadOf,
+    mean(table, includes) {
       let total = 0
       let weights = 0
       for (const group of table.groups) {
         for (const { id, weight } of group.members) {
-          if (!counts(id)) continue
-          total += of(id)
+          if (!includes(id)) continue
+          total += loadOf(id)
           weights += weight
         }
       }
@@ -45,7 +45,7 @@
       let load = 0
       let weights = 0
       for (const { id, weight } of group.members) {
-        load += of(id)
+        load += loadOf(id)
         weights += weight
       }
       return load + 1 <= factor * mean * weights + 1
@@ -59,7 +59,7 @@
         for (const [id, count] of Object.entries(peer.heartbeat.digest.targets))
           next.set(id, (next.get(id) ?? 0) + count)
       }
-      peers = next
+      peerLoads = next
     },
   }
 }
--- a/packages/daemon/src/node/routing/createFleetView.ts
+++ b/packages/daemon/src/node/routing/createFleetView.ts
@@ -10,29 +10,30 @@
 import type { Membership } from '../membership/createMembership.js'
 import type { ServiceTable } from './createServiceTables.js'
 
-/** What a fleet view works with. */
+/** Options for {@link createFleetView}. */
 export interface FleetViewOptions {
   readonly router: string
   readonly configuration: () => Configuration
   readonly vms: () => readonly VmEntry[]
   readonly membership: () => Pick<Membership, 'livePeers'>
+  /** Share of a service's targets that may vanish from the VM list at once. */
   readonly maxVanished: number
   readonly now: () => number
 }
 
-/** Which routers and targets this router believes to be there. */
+/** This router's membership view: live routers and targets that accept requests. */
 export interface FleetView {
-  /** Routers that are alive and not stopping, this one included. */
+  /** Live routers that are not stopping, this one included; sorted. */
   routers(): readonly string[]
-  /** Router that grants places on a group. */
+  /** Coordinator of a group: the router that grants its slots. */
   coordinatorOf(groupId: string): string | undefined
-  /** Whether VM list and configuration let a target take new work. */
+  /** Whether the VM list and the configuration let a target accept new requests. */
   acceptsNewRequests(targetId: string): boolean
-  /** Takes in the VM list as it is now. */
+  /** Applies the current VM list and peer digests. */
   update(tables: readonly ServiceTable[]): void
 }
 
-/** Creates the view; a suspect VM list and flapping targets are damped. */
+/** Creates the view, which guards against suspect VM lists and damps flapping targets. */
 export function createFleetView(options: FleetViewOptions): FleetView {
   const guards = new Map<string, TargetListGuard>()
   const flapDamper = createFlapDamper()
@@ -45,8 +46,8 @@
   let lastVms: readonly VmEntry[] | undefined
 
   function guardOf(service: string): TargetListGuard {
-    const guard = guards.get(service)
-    if (guard) return guard
+    const existing = guards.get(service)
+    if (existing) return existing
     const created = createTargetListGuard({ maxVanished: options.maxVanished })
     guards.set(service, created)
     return created
@@ -91,15 +92,15 @@
       const nowMs = options.now()
       const next = new Set<string>()
       for (const { service, targets } of tables) {
-        // Targets need not be on the list; those that were on it must stay.
+        // A target need not be on the VM list, but one that was on it must stay there.
         const present = [...targets.keys()].filter(
           (id) => listedIds.has(id) || !everListedIds.has(id),
         )
         for (const id of guardOf(service).accept(present, nowMs)) next.add(id)
         for (const id of targets.keys()) {
           if (listedIds.has(id)) everListedIds.add(id)
-          const there = next.has(id) && !departingIds.has(id)
-          if (!flapDamper.update(id, there, nowMs)) next.delete(id)
+          const isPresent = next.has(id) && !departingIds.has(id)
+          if (!flapDamper.update(id, isPresent, nowMs)) next.delete(id)
         }
       }
       acceptedIds = next
--- a/packages/daemon/src/node/routing/createInFlightCounts.ts
+++ b/packages/daemon/src/node/routing/createInFlightCounts.ts
@@ -1,4 +1,4 @@
-/** Requests in flight from this router, by target. */
+/** Counts of requests in flight from this router, by target. */
 export interface InFlightCounts {
   get(targetId: string): number
   add(targetId: string, change: number): void
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -35,7 +35,7 @@
 import { resolveHint } from './resolveHint.js'
 import type { CoordinatorRouting, TargetSlot, Routing } from './routing.js'
 
-/** What the choice of targets works with. */
+/** Options for {@link createRouting}. */
 export interface RoutingOptions {
   readonly settings: ResolvedSettings
   readonly incarnation: string
@@ -45,7 +45,7 @@
   readonly client: Pick<PeerClient, 'grant' | 'collect'>
   readonly reporter: () => Pick<LoadReporter, 'report'>
   readonly cacheEvents: () => Pick<CacheEventReader, 'targetOf'>
-  /** Whether a target's health lets a request go there. */
+  /** Whether the health of a target allows a request to be sent there. */
   readonly eligible: (targetId: string, idempotent: boolean) => boolean
   readonly metrics: Metrics
   readonly now: () => number
@@ -53,10 +53,10 @@
 
 const RETRY_AFTER_S = 1
 const UPDATE_INTERVAL_MS = 100
-/** Rounds of reports that a group still gets after its last request has ended. */
+/** Number of load report intervals for which a group stays active after its last request. */
 const IDLE_REPORT_ROUNDS = 3
 
-/** Creates routing by grants of each group's home router. */
+/** Creates routing that acquires slots from the coordinator of each target group. */
 export function createRouting(options: RoutingOptions): CoordinatorRouting {
   const { settings, incarnation, configuration, membership, metrics, now } =
     options
@@ -79,11 +79,11 @@
   const eligible = (id: string): boolean =>
     view.acceptsNewRequests(id) && options.eligible(id, true)
 
-  /** A group without requests has no load to report and no new cache events. */
+  /** An idle group need not be polled: it has no load to report and no new cache events. */
   function isActive(group: TargetGroup): boolean {
     const idleMs = now() - allocators.getOrCreate(group).lastRequestAtMs
     if (idleMs <= IDLE_REPORT_ROUNDS * settings.targets.reportMs) return true
-    return group.members.some(({ id }) => load.loadOf(id) > 0)
+    return group.members.some(({ id }) => load.get(id) > 0)
   }
 
   function addressOf(peer: string): string | undefined {
@@ -99,12 +99,12 @@
   function serviceMean(service: string): number | undefined {
     const table = tables.get(service)
     if (!table || table.groups.length < 2) return undefined
-    return load.meanLoad(table, eligible)
+    return load.mean(table, eligible)
   }
 
   const allocators = createGroupAllocators(router, incarnation, (group) => {
     const { service, membersHash } = group
-    const task = createGroupAllocator({
+    const allocator = createGroupAllocator({
       group,
       router,
       incarnation: `${incarnation}/${membersHash.toString(36)}`,
@@ -126,15 +126,15 @@
     })
     for (const [index, { id }] of group.members.entries())
       for (let count = inFlight.get(id); count > 0; count -= 1)
-        task.recordInFlight(index)
-    return task
+        allocator.recordInFlight(index)
+    return allocator
   })
 
-  function refresh(): void {
+  function refreshLoads(): void {
     load.update()
-    for (const task of allocators.all()) {
-      const known = task.group.members.map(({ id }) => load.loadOf(id))
-      task.refreshQuota({ inFlight: known, ageMs: load.ageMs() })
+    for (const allocator of allocators.all()) {
+      const loads = allocator.group.members.map(({ id }) => load.get(id))
+      allocator.refreshQuota({ inFlight: loads, ageMs: load.ageMs() })
     }
     refreshedAtMs = now()
   }
@@ -145,14 +145,14 @@
     const groups = all.flatMap((table) => table.groups)
     allocators.retain(groups)
     for (const group of groups) allocators.getOrCreate(group).update()
-    if (now() - refreshedAtMs >= settings.peers.heartbeatMs) refresh()
+    if (now() - refreshedAtMs >= settings.peers.heartbeatMs) refreshLoads()
   }
 
-  const everyMs = Math.min(UPDATE_INTERVAL_MS, settings.peers.heartbeatMs)
+  const intervalMs = Math.min(UPDATE_INTERVAL_MS, settings.peers.heartbeatMs)
   const updates = createUpdateScheduler({
     update,
     isActive: () => tables.all().some((table) => table.groups.some(isActive)),
-    intervalMs: everyMs,
+    intervalMs,
     now,
   })
 
@@ -163,24 +163,24 @@
   ): TargetSlot {
     let released = false
     inFlight.add(target.id, 1)
-    // A task made while the request waited has not counted it.
+    // The group may have changed while the request waited; its new allocator has not counted the request.
     const current = tables.getTarget(target.id)
     if (current && current.group.membersHash !== group.membersHash)
       allocators.getOrCreate(current.group).recordInFlight(current.index)
     const { customer, service, chat, serviceKind } = request
     const owner = { customer, service, chat }
-    const hinted = serviceKind === ServiceKind.Model && chat !== ''
+    const hasHint = serviceKind === ServiceKind.Model && chat !== ''
     return {
       target,
-      hint: hinted
+      hint: hasHint
         ? signHint(settings.secrets.hint, owner, target.id)
         : undefined,
       release: () => {
         if (released) return
         released = true
         inFlight.add(target.id, -1)
-        const now = tables.getTarget(target.id)
-        if (now) allocators.getOrCreate(now.group).release(now.index)
+        const latest = tables.getTarget(target.id)
+        if (latest) allocators.getOrCreate(latest.group).release(latest.index)
       },
     }
   }
@@ -189,20 +189,20 @@
     const table = tables.get(request.service)
     updates.updateIfStale()
     const key = chatKey(request.chat === '' ? request.id : request.chat)
-    const hinted = resolveHint(settings.secrets.hint, request)
-    const hint = hinted === undefined ? undefined : table?.targets.get(hinted)
+    const hintId = resolveHint(settings.secrets.hint, request)
+    const hint = hintId === undefined ? undefined : table?.targets.get(hintId)
     const factor = maxLoadFactor(request.service)
-    const choice = { load, key, hint, maxLoadFactor: factor, eligible }
-    for (const group of table ? chooseGroups({ table, ...choice }) : []) {
-      const barred = (id: string): boolean =>
+    const groupOptions = { load, key, hint, maxLoadFactor: factor, eligible }
+    for (const group of table ? chooseGroups({ table, ...groupOptions }) : []) {
+      const isExcluded = (id: string): boolean =>
         excluded.has(id) || !options.eligible(id, request.idempotent)
-      const want = createPlacementRequest(group, key, hint, barred)
+      const want = createPlacementRequest(group, key, hint, isExcluded)
       const placed = await allocators.getOrCreate(group).allocate(want)
       const id = group.members[placed.index]?.id ?? ''
       const target = table?.targets.get(id)
       if (target) return ok(acquireSlot(request, target, group))
     }
-    const message = `no target of ${request.service} can take the request`
+    const message = `no target of service ${request.service} can accept the request`
     return err(
       createFailure(FailureCode.NoTarget, message, undefined, RETRY_AFTER_S),
     )
@@ -217,12 +217,12 @@
     cachedOn: (key) => options.cacheEvents().targetOf(key),
   })
 
-  const loop = createLoop(
+  const updateLoop = createLoop(
     () => {
       updates.updateIfDue()
       return Promise.resolve()
     },
-    everyMs,
+    intervalMs,
     () => undefined,
   )
 
@@ -236,14 +236,14 @@
       return allocators.onGrant(ask)
     },
     onCollect: (ask) => allocators.onCollect(ask),
-    coordinatedTargets: (resting) =>
+    coordinatedTargets: (includeIdle) =>
       listCoordinatedTargets(
         configuration,
         tables,
         view,
         router,
-        (group) => resting || isActive(group),
+        (group) => includeIdle || isActive(group),
       ),
-    stop: () => loop.stop(),
+    stop: () => updateLoop.stop(),
   }
 }
--- a/packages/daemon/src/node/routing/createServiceTables.ts
+++ b/packages/daemon/src/node/routing/createServiceTables.ts
@@ -14,7 +14,7 @@
   readonly index: number
 }
 
-/** The targets of a service, prepared for fast choices. */
+/** Targets of a service, indexed for target selection. */
 export interface ServiceTable {
   readonly service: string
   readonly groups: readonly TargetGroup[]
@@ -22,7 +22,7 @@
   readonly targets: ReadonlyMap<string, GroupedTarget>
 }
 
-/** Tables of all services. */
+/** Routing tables of all services. */
 export interface ServiceTables {
   get(service: string): ServiceTable | undefined
   all(): readonly ServiceTable[]
@@ -33,10 +33,10 @@
   service: string,
   configuration: Configuration,
 ): ServiceTable {
-  const own = Object.entries(configuration.targets)
+  const serviceTargets = Object.entries(configuration.targets)
     .filter(([, target]) => target.service === service)
     .map(([id, { weight }]) => ({ id, weight }))
-  const groups = groupTargets(service, own)
+  const groups = groupTargets(service, serviceTargets)
   const targets = new Map<string, GroupedTarget>()
   for (const group of groups) {
     for (const [index, { id }] of group.members.entries()) {
@@ -47,17 +47,17 @@
   return { service, groups, ring: createGroupRing(groups), targets }
 }
 
-/** Creates tables that are rebuilt when the configuration changes. */
+/** Creates the tables; they are rebuilt when the configuration object changes. */
 export function createServiceTables(
   configuration: () => Configuration,
 ): ServiceTables {
-  let built: Configuration | undefined
+  let builtFrom: Configuration | undefined
   let tables = new Map<string, ServiceTable>()
 
   function current(): Map<string, ServiceTable> {
     const cfg = configuration()
-    if (cfg === built) return tables
-    built = cfg
+    if (cfg === builtFrom) return tables
+    builtFrom = cfg
     tables = new Map(
       Object.keys(cfg.services).map((service) => [
         service,
--- a/packages/daemon/src/node/routing/createUpdateScheduler.ts
+++ b/packages/daemon/src/node/routing/createUpdateScheduler.ts
@@ -1,25 +1,25 @@
-/** When the view of the fleet is brought up to date. */
+/** Schedules updates of the membership view. */
 export interface UpdateScheduler {
-  /** Updates a view that an idle router has let grow old. */
+  /** Updates if the last update is more than two intervals old; called before the view is used. */
   updateIfStale(): void
-  /** Updates when it is time to; an idle router seldom does. */
+  /** Called every interval; an idle router updates less often. */
   updateIfDue(): void
 }
 
-/** What the pace works with. */
+/** Options for {@link createUpdateScheduler}. */
 export interface UpdateSchedulerOptions {
   readonly update: () => void
-  /** Whether any group is in use. */
+  /** Whether any group has recent requests or load. */
   readonly isActive: () => boolean
-  /** Milliseconds between two updates while a group is in use. */
+  /** Milliseconds between two updates while a group is active. */
   readonly intervalMs: number
   readonly now: () => number
 }
 
-/** Milliseconds between two updates while no group is in use. */
+/** Minimum time between two updates while no group is active. */
 const IDLE_UPDATE_INTERVAL_MS = 500
 
-/** Creates the pace of updates. */
+/** Creates a scheduler that its caller drives once per interval. */
 export function createUpdateScheduler(
   options: UpdateSchedulerOptions,
 ): UpdateScheduler {
--- a/packages/daemon/src/node/routing/listCoordinatedTargets.ts
+++ b/packages/daemon/src/node/routing/listCoordinatedTargets.ts
@@ -6,22 +6,22 @@
 import type { FleetView } from './createFleetView.js'
 import type { GroupedTarget, ServiceTables } from './createServiceTables.js'
 
-/** Lists the engines of the groups that `router` is the home of. */
+/** Lists the engines of the groups that `router` coordinates and `isPolled` accepts. */
 export function listCoordinatedTargets(
   configuration: () => Configuration,
   tables: ServiceTables,
   view: FleetView,
   router: string,
-  polled: (group: TargetGroup) => boolean,
+  isPolled: (group: TargetGroup) => boolean,
 ): GroupedTarget[] {
   const { services } = configuration()
-  const found: GroupedTarget[] = []
+  const engines: GroupedTarget[] = []
   for (const { service, targets } of tables.all()) {
     if (services[service]?.kind !== ServiceKind.Model) continue
     for (const target of targets.values()) {
       if (view.coordinatorOf(target.group.id) !== router) continue
-      if (polled(target.group)) found.push(target)
+      if (isPolled(target.group)) engines.push(target)
     }
   }
-  return found
+  return engines
 }
--- a/packages/daemon/src/node/routing/resolveHint.ts
+++ b/packages/daemon/src/node/routing/resolveHint.ts
@@ -1,7 +1,7 @@
 import { verifyHint, ServiceKind } from '@auburnbay/core'
 import type { RoutedRequest } from '../callers/routedRequest.js'
 
-/** Returns the target that a request's own genuine hint names. */
+/** Returns the target named by a request's hint if the hint was signed for the request's chat. */
 export function resolveHint(
   secret: string,
   request: RoutedRequest,
--- a/packages/daemon/src/node/routing/routing.ts
+++ b/packages/daemon/src/node/routing/routing.ts
@@ -10,7 +10,7 @@
 import type { TargetAddress } from '../targets/targetClient.js'
 import type { RoutingExplanation } from './routingExplanation.js'
 
-/** A request's place on a target; counts as load until it is released. */
+/** A request's slot on a target; counts as load until it is released. */
 export interface TargetSlot {
   readonly target: TargetAddress
   /** Hint that the caller sends with the chat's next request. */
@@ -18,36 +18,37 @@
   release(): void
 }
 
-/** Load of a target as a router knows it. */
+/** Load of a target according to the latest digests. */
 export interface TargetStatus {
   readonly id: string
   readonly service: string
   readonly address: string
   /** Requests in flight. */
   readonly load: number
-  /** Load the target may reach. */
+  /** Maximum load of the target. */
   readonly bound: number
 }
 
-/** Chooses targets. */
+/** Selects targets for requests. */
 export interface Routing {
-  /** Places a request on a target that is not in `exclude`. */
+  /** Acquires a slot on a target that is not in `exclude`. */
   place(
     request: RoutedRequest,
     exclude: ReadonlySet<string>,
   ): Promise<Result<TargetSlot, RequestFailure>>
+  /** Lists all targets with their loads. */
   status(): TargetStatus[]
-  /** Says where the chat's next request would go and why; places nothing. */
+  /** Explains where the chat's next request would go; acquires no slot. */
   explain(service: string, customer: string, chat: string): RoutingExplanation
-  /** Requests in flight from this router, by target. */
+  /** Number of requests in flight from this router by target. */
   ownInFlight(): Record<string, number>
 }
 
-/** Routing that also serves other routers as the home of groups. */
+/** Routing that also serves its peers as the coordinator of groups. */
 export interface CoordinatorRouting extends Routing {
   onGrant(ask: GrantRequest): GrantResponse
   onCollect(ask: CollectRequest): CollectResponse
-  /** Engines of the groups that this router is the home of; `resting` adds those of groups out of use. */
-  coordinatedTargets(resting: boolean): readonly TargetAddress[]
+  /** Engines of the groups that this router coordinates; `includeIdle` adds those of idle groups. */
+  coordinatedTargets(includeIdle: boolean): readonly TargetAddress[]
   stop(): Promise<void>
 }
--- a/packages/daemon/src/node/routing/routingExplanation.ts
+++ b/packages/daemon/src/node/routing/routingExplanation.ts
@@ -1,6 +1,6 @@
-/** Where the knowledge of a chat's target comes from. */
+/** Source of the hint about a chat's target. */
 export enum HintSource {
-  /** No hint: the chat's own order of targets decides. */
+  /** No hint: the rendezvous order of the chat's key decides. */
   None = 'none',
   /** The signed hint that the caller sent. */
   Caller = 'caller',
@@ -8,18 +8,18 @@
   CacheEvents = 'cache-events',
 }
 
-/** One target as the choice for a chat sees it. */
+/** A candidate target for a chat. */
 export interface ExplainedTarget {
   readonly id: string
   /** Requests in flight. */
   readonly load: number
-  /** Load the target may reach. */
+  /** Maximum load of the target. */
   readonly bound: number
-  /** Whether the target may take new work at all. */
+  /** Whether the target accepts new requests. */
   readonly eligible: boolean
 }
 
-/** Why a chat's next request would go where it would go. */
+/** Explains which target a chat's next request would be sent to. */
 export interface RoutingExplanation {
   readonly service: string
   readonly customer: string
@@ -27,9 +27,9 @@
   readonly hintSource: HintSource
   /** Target that the hint names. */
   readonly hintedTarget?: string
-  /** Router that grants places on the chat's group of targets. */
+  /** Coordinator of the chat's target group. */
   readonly home?: string
-  /** In the order in which they are tried. */
+  /** Candidates in the order in which they are tried. */
   readonly candidates: readonly ExplainedTarget[]
   /** Absent when no target can take the request. */
   readonly chosen?: string
