--- a/packages/daemon/src/node/admission/__tests__/createWaitingRouting.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/createWaitingRouting.test.ts
@@ -51,8 +51,8 @@
       seen.released += 1
     },
   }
-  const routing: Pick<Routing, 'place'> = {
-    place: () => {
+  const routing: Pick<Routing, 'selectTarget'> = {
+    selectTarget: () => {
       seen.attempts += 1
       const full = createFailure(FailureCode.NoTarget, 'full')
       return Promise.resolve(
@@ -81,7 +81,7 @@
 describe('createWaitingRouting', () => {
   it('waits while every target is at its bound', async () => {
     const { waiting, seen } = setUp(3)
-    const placed = await waiting.place(request(), new Set())
+    const placed = await waiting.selectTarget(request(), new Set())
     assert.ok(placed.isOk())
     assert.deepEqual(seen, { attempts: 4, pauses: 0, released: 0 })
   })
@@ -89,7 +89,10 @@
   it('fails as not run when the deadline passes', async () => {
     const { waiting, seen } = setUp(Infinity)
     const deadlineAtMs = Date.now() + 50
-    const placed = await waiting.place(request({ deadlineAtMs }), new Set())
+    const placed = await waiting.selectTarget(
+      request({ deadlineAtMs }),
+      new Set(),
+    )
     const failure = placed._unsafeUnwrapErr()
     assert.equal(failure.code, FailureCode.DeadlinePassed)
     assert.equal(failure.verdict, 'not-run')
@@ -99,7 +102,10 @@
   it('fails when the caller disconnects', async () => {
     const { waiting, seen } = setUp(Infinity)
     const caller = new AbortController()
-    const placing = waiting.place(request({ signal: caller.signal }), new Set())
+    const placing = waiting.selectTarget(
+      request({ signal: caller.signal }),
+      new Set(),
+    )
     caller.abort()
     assert.ok((await placing).isErr())
     assert.equal(seen.pauses, 0)
@@ -107,8 +113,11 @@
 
   it('does not wait for a service without targets or in a retry', async () => {
     const { waiting, seen } = setUp(Infinity)
-    const unknown = await waiting.place(request({ service: 'x' }), new Set())
-    const retry = await waiting.place(request(), new Set(['engine-1']))
+    const unknown = await waiting.selectTarget(
+      request({ service: 'x' }),
+      new Set(),
+    )
+    const retry = await waiting.selectTarget(request(), new Set(['engine-1']))
     assert.ok(unknown.isErr() && retry.isErr())
     assert.equal(seen.attempts, 2)
   })
--- a/packages/daemon/src/node/admission/admission.ts
+++ b/packages/daemon/src/node/admission/admission.ts
@@ -11,7 +11,7 @@
 /** Admission control: decides when each request may run, by rank. */
 export interface Admission {
   /** Queues the request and resolves once it may run or has left the queue. */
-  enter(
+  admit(
     request: RoutedRequest,
   ): Promise<Result<AdmissionPermit, RequestFailure>>
   /** Number of running requests. */
--- a/packages/daemon/src/node/admission/createAdmission.ts
+++ b/packages/daemon/src/node/admission/createAdmission.ts
@@ -58,7 +58,7 @@
     }
   }
 
-  async function enter(request: RoutedRequest) {
+  async function admit(request: RoutedRequest) {
     const { service, customer, rank } = request
     const acquired = limits.acquire(customer)
     if (acquired.isErr()) return err(acquired.error)
@@ -117,7 +117,7 @@
     () => undefined,
   )
   return {
-    enter,
+    admit,
     inFlightByCustomer: () => limits.inFlight(),
     ratesByCustomer: () => limits.rates(),
     async pauseDuring(service, wait) {
--- a/packages/daemon/src/node/admission/createWaitingRouting.ts
+++ b/packages/daemon/src/node/admission/createWaitingRouting.ts
@@ -55,7 +55,7 @@
     request: RoutedRequest,
   ): Promise<SelectionResult> {
     for (;;) {
-      const placed = await routing.place(request, new Set())
+      const placed = await routing.selectTarget(request, new Set())
       if (placed.isOk() && signal.aborted) placed.value.release()
       signal.throwIfAborted()
       if (placed.isOk() || !mayWait(request, placed.error)) return placed
@@ -85,8 +85,8 @@
 
   return {
     ...routing,
-    async place(request, exclude) {
-      const placed = await routing.place(request, exclude)
+    async selectTarget(request, exclude) {
+      const placed = await routing.selectTarget(request, exclude)
       if (placed.isOk()) return ok(placed.value)
       if (exclude.size > 0 || !mayWait(request, placed.error)) return placed
       return admission.pauseDuring(request.service, () => wait(request))
--- a/packages/daemon/src/node/callers/createAttempt.ts
+++ b/packages/daemon/src/node/callers/createAttempt.ts
@@ -26,7 +26,7 @@
 
 /** What one attempt works with. */
 export interface AttemptOptions {
-  readonly routing: Pick<Routing, 'place'>
+  readonly routing: Pick<Routing, 'selectTarget'>
   readonly targets: TargetClient
   readonly tracing: Tracing
 }
@@ -37,7 +37,7 @@
 
   return async (request, exclude, parent, again) => {
     const deciding = tracing.start(Hop.Decide, parent, spanFields(request))
-    const placed = await routing.place(request, exclude)
+    const placed = await routing.selectTarget(request, exclude)
     if (placed.isOk()) deciding.set({ target: placed.value.target.id })
     else deciding.set({ verdict: placed.error.verdict })
     deciding.end(placed.isErr() ? placed.error.message : undefined)
--- a/packages/daemon/src/node/callers/createDispatcher.ts
+++ b/packages/daemon/src/node/callers/createDispatcher.ts
@@ -17,9 +17,9 @@
 
 /** The parts that a request passes through. */
 export interface DispatcherOptions {
-  readonly admission: Pick<Admission, 'enter'>
+  readonly admission: Pick<Admission, 'admit'>
   readonly claims: Claims
-  readonly routing: Pick<Routing, 'place'>
+  readonly routing: Pick<Routing, 'selectTarget'>
   readonly targets: TargetClient
   readonly tracing: Tracing
   readonly retries: Retries
@@ -79,7 +79,7 @@
     parent: Context,
   ): Promise<Result<void, RequestFailure>> {
     const queueing = tracing.start(Hop.Queue, parent, spanFields(request))
-    const admitted = await admission.enter(request)
+    const admitted = await admission.admit(request)
     if (admitted.isErr()) queueing.set({ verdict: admitted.error.verdict })
     queueing.end(admitted.isErr() ? admitted.error.message : undefined)
     if (admitted.isErr()) return err(admitted.error)
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -185,7 +185,10 @@
     }
   }
 
-  async function place(request: RoutedRequest, excluded: ReadonlySet<string>) {
+  async function selectTarget(
+    request: RoutedRequest,
+    excluded: ReadonlySet<string>,
+  ) {
     const table = tables.get(request.service)
     updates.updateIfStale()
     const key = chatKey(request.chat === '' ? request.id : request.chat)
@@ -227,7 +230,7 @@
   )
 
   return {
-    place,
+    selectTarget,
     status: createStatus({ tables, load, eligible, maxLoadFactor }),
     explain,
     ownInFlight: () => inFlight.toRecord(),
--- a/packages/daemon/src/node/routing/routing.ts
+++ b/packages/daemon/src/node/routing/routing.ts
@@ -32,7 +32,7 @@
 /** Selects targets for requests. */
 export interface Routing {
   /** Acquires a slot on a target that is not in `exclude`. */
-  place(
+  selectTarget(
     request: RoutedRequest,
     exclude: ReadonlySet<string>,
   ): Promise<Result<TargetSlot, RequestFailure>>
--- a/packages/measure/src/node/once/createRouter.ts
+++ b/packages/measure/src/node/once/createRouter.ts
@@ -100,7 +100,7 @@
   })
 
   const routing = {
-    place: async (
+    selectTarget: async (
       request: { readonly service: string },
       exclude: ReadonlySet<string>,
     ) => {
@@ -130,7 +130,7 @@
     ready: () => true,
     dispatcher: createDispatcher({
       admission: {
-        enter: () => Promise.resolve(ok({ release: () => undefined })),
+        admit: () => Promise.resolve(ok({ release: () => undefined })),
       },
       claims,
       routing,
