--- a/packages/daemon/src/node/routing/createGroupAllocator.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocator.ts
@@ -17,88 +17,92 @@
 import type { PeerClient } from '../peers/createPeerClient.js'
 import type { FleetView } from './createFleetView.js'
 
-/** What a group's task works with. */
+/** Options for {@link createGroupAllocator}. */
 export interface GroupAllocatorOptions {
   readonly group: TargetGroup
   readonly router: string
   readonly incarnation: string
+  /** Milliseconds that a request waits for the coordinator before the fallback quota is used. */
   readonly coordinatorTimeoutMs: number
+  /** Age of the oldest digest, in milliseconds, at which the fallback bound has shrunk to the mean load. */
   readonly maxAgeMs: number
   readonly view: FleetView
   readonly client: Pick<PeerClient, 'grant' | 'collect'>
   readonly addressOf: (router: string) => string | undefined
   readonly now: () => number
   readonly maxLoadFactor: () => number
+  /** Mean load per unit of weight over the service; undefined if it has a single group. */
   readonly serviceMean: () => number | undefined
   readonly eligible: (targetId: string) => boolean
+  /** Requests in flight that the target last reported. */
   readonly reportedLoad: (targetId: string) => number | undefined
-  /** Target that holds a chat, as far as the home knows. */
+  /** Target whose cache has a chat according to its cache events. */
   readonly cachedOn: (key: string) => string | undefined
-  /** Called for each decision. */
-  readonly onAllocated: (placed: TargetSelection) => void
+  readonly onSelected: (selection: TargetSelection) => void
 }
 
-/** A digest of all routers for one group. */
+/** Load of one group according to the digests of all routers. */
 export interface GroupLoad {
   /** Requests in flight by target, from all routers. */
   readonly inFlight: readonly number[]
+  /** Age of the oldest digest in milliseconds. */
   readonly ageMs: number
 }
 
-/** One group on one router: asks the home, or is the home. */
+/** Acquires slots of one target group from its coordinator, which may be this router. */
 export interface GroupAllocator {
   readonly group: TargetGroup
-  /** Whether this router grants places on the group now. */
+  /** Whether this router currently grants slots of the group. */
   readonly isCoordinating: boolean
-  /** When a place on the group was last asked for here, on the monotonic clock. */
+  /** Time of the last grant request handled here, in milliseconds of the monotonic clock. */
   readonly lastRequestAtMs: number
-  allocate(want: PlacementRequest): Promise<TargetSelection>
+  /** Selects a target and acquires a slot on it; the index is -1 if there is none. */
+  selectTarget(request: PlacementRequest): Promise<TargetSelection>
   /** Counts a request that is already in flight. */
   recordInFlight(index: number): void
   release(index: number): void
-  onGrant(ask: GrantRequest): GrantResponse
-  onCollect(ask: CollectRequest): CollectResponse
-  /** Takes in the view and sends what is due. */
+  onGrant(request: GrantRequest): GrantResponse
+  onCollect(request: CollectRequest): CollectResponse
+  /** Applies the current membership view and sends pending messages. */
   update(): void
-  refreshQuota(digest: GroupLoad): void
+  /** Recomputes the fallback quota from new digests. */
+  refreshQuota(load: GroupLoad): void
 }
 
-/** Creates the task of one group. */
+/** Creates the allocator of one group. */
 export function createGroupAllocator(
   options: GroupAllocatorOptions,
 ): GroupAllocator {
-  const { group, router, view, client, now } = options
-  const holder = createCreditPool(options)
-  const shares = createFallbackQuota(group, router)
-  const { coordinatorTimeoutMs: homeLimitMs } = options
-  const placer = createGroupTargetSelector({
+  const { group, router, view, client, now, coordinatorTimeoutMs } = options
+  const creditPool = createCreditPool(options)
+  const fallbackQuota = createFallbackQuota(group, router)
+  const selector = createGroupTargetSelector({
     group,
-    creditPool: holder,
-    fallbackQuota: shares,
-    coordinatorTimeoutMs: homeLimitMs,
+    creditPool,
+    fallbackQuota,
+    coordinatorTimeoutMs,
   })
-  const home = createGroupCoordinator({ group, router })
-  const waiting = new Map<number, (placed: TargetSelection) => void>()
-  let lastRequest = 0
-  let askedAtMs = -Infinity
+  const coordinator = createGroupCoordinator({ group, router })
+  const waiting = new Map<number, (selection: TargetSelection) => void>()
+  let lastRequestId = 0
+  let lastRequestAtMs = -Infinity
 
   function eligible(index: number): boolean {
     const id = group.members[index]?.id
     return id !== undefined && options.eligible(id)
   }
 
-  function placerView(): SelectionContext {
-    const homeId = view.coordinatorOf(group.id)
-    const isHome = homeId === router
+  function context(): SelectionContext {
+    const coordinatorId = view.coordinatorOf(group.id)
     return {
       nowMs: now(),
-      hasCoordinator: homeId !== undefined,
-      isCoordinator: isHome,
+      hasCoordinator: coordinatorId !== undefined,
+      isCoordinator: coordinatorId === router,
       eligible,
     }
   }
 
-  function ledgerView(): LedgerContext {
+  function ledgerContext(): LedgerContext {
     return {
       nowMs: now(),
       maxLoadFactor: options.maxLoadFactor(),
@@ -108,76 +112,78 @@
     }
   }
 
-  function settle(all: readonly TargetSelection[]): void {
-    for (const placed of all) {
-      waiting.get(placed.requestId)?.(placed)
-      waiting.delete(placed.requestId)
+  function deliver(selections: readonly TargetSelection[]): void {
+    for (const selection of selections) {
+      waiting.get(selection.requestId)?.(selection)
+      waiting.delete(selection.requestId)
     }
   }
 
-  function withHints(ask: GrantRequest): GrantRequest {
-    const wants = ask.wants.map((want) => {
+  /** Adds hints from cache events to the requests that have none. */
+  function withHints(request: GrantRequest): GrantRequest {
+    const wants = request.wants.map((want) => {
       if (want.hint !== undefined) return want
       const id = options.cachedOn(want.key)
       const index = group.members.findIndex((member) => member.id === id)
       return index < 0 ? want : { ...want, hint: index }
     })
-    return { ...ask, wants }
+    return { ...request, wants }
   }
 
-  function answerAsk(ask: GrantRequest): GrantResponse {
-    if (ask.wants.length > 0) askedAtMs = now()
-    return home.handleGrantRequest(withHints(ask), ledgerView())
+  function handleGrantRequest(request: GrantRequest): GrantResponse {
+    if (request.wants.length > 0) lastRequestAtMs = now()
+    return coordinator.handleGrantRequest(withHints(request), ledgerContext())
   }
 
-  function send(): void {
-    const ask = placer.nextGrantRequest(placerView())
-    if (!ask) return
+  function sendPending(): void {
+    const request = selector.nextGrantRequest(context())
+    if (!request) return
+    const { sequence } = request
     const to = view.coordinatorOf(group.id)
     if (to === router) {
-      settle(
-        placer.applyGrantResponse(ask.sequence, answerAsk(ask), placerView()),
-      )
-      sendLater()
+      const response = handleGrantRequest(request)
+      deliver(selector.applyGrantResponse(sequence, response, context()))
+      scheduleSend()
       return
     }
     const address = to === undefined ? undefined : options.addressOf(to)
     if (address === undefined) {
-      settle(placer.handleGrantFailure(ask.sequence, placerView()))
+      deliver(selector.handleGrantFailure(sequence, context()))
       return
     }
-    client.grant(address, ask).then(
-      (reply) => {
-        settle(placer.applyGrantResponse(ask.sequence, reply, placerView()))
-        send()
-        sendLater()
+    client.grant(address, request).then(
+      (response) => {
+        deliver(selector.applyGrantResponse(sequence, response, context()))
+        sendPending()
+        scheduleSend()
       },
       () => {
-        settle(placer.handleGrantFailure(ask.sequence, placerView()))
+        deliver(selector.handleGrantFailure(sequence, context()))
       },
     )
   }
 
-  function sendLater(): void {
-    if (waiting.size > 0) setTimeout(send, 2 * COORDINATOR_RETRY_MS)
+  function scheduleSend(): void {
+    if (waiting.size > 0) setTimeout(sendPending, 2 * COORDINATOR_RETRY_MS)
   }
 
-  function expire(): void {
-    settle(placer.expireWaiting(placerView()))
-    const next = placer.nextExpiryMs
-    if (next !== undefined) setTimeout(expire, Math.max(1, next - now()))
+  function expireWaiting(): void {
+    deliver(selector.expireWaiting(context()))
+    const next = selector.nextExpiryMs
+    if (next !== undefined) setTimeout(expireWaiting, Math.max(1, next - now()))
   }
 
-  function collectFrom(to: string, ask: CollectRequest): void {
+  function collectFrom(to: string, request: CollectRequest): void {
     if (to === router) {
-      home.applyCollectResponse(holder.handleCollectRequest(ask), now())
+      const response = creditPool.handleCollectRequest(request)
+      coordinator.applyCollectResponse(response, now())
       return
     }
     const address = options.addressOf(to)
     if (address === undefined) return
-    client.collect(address, ask).then(
-      (reply) => {
-        home.applyCollectResponse(reply, now())
+    client.collect(address, request).then(
+      (response) => {
+        coordinator.applyCollectResponse(response, now())
       },
       () => undefined,
     )
@@ -186,61 +192,56 @@
   return {
     group,
     get isCoordinating() {
-      return home.granting
+      return coordinator.granting
     },
     get lastRequestAtMs() {
-      return askedAtMs
+      return lastRequestAtMs
     },
-    allocate(want) {
-      lastRequest += 1
-      const requestId = lastRequest
+    selectTarget(request) {
+      lastRequestId += 1
+      const requestId = lastRequestId
       return new Promise((resolve) => {
-        const settled = (placed: TargetSelection): void => {
-          options.onAllocated(placed)
-          resolve(placed)
+        const onSelection = (selection: TargetSelection): void => {
+          options.onSelected(selection)
+          resolve(selection)
         }
-        const placed = placer.select(requestId, want, placerView())
-        if (placed) {
-          settled(placed)
+        const selection = selector.select(requestId, request, context())
+        if (selection) {
+          onSelection(selection)
           return
         }
-        waiting.set(requestId, settled)
-        send()
-        if (waiting.has(requestId)) setTimeout(expire, homeLimitMs)
+        waiting.set(requestId, onSelection)
+        sendPending()
+        if (waiting.has(requestId))
+          setTimeout(expireWaiting, coordinatorTimeoutMs)
       })
     },
     recordInFlight: (index) => {
-      holder.addInFlight(index)
+      creditPool.addInFlight(index)
     },
     release(index) {
-      placer.release(index)
-      send()
+      selector.release(index)
+      sendPending()
     },
-    onGrant: answerAsk,
-    onCollect: (ask) => holder.handleCollectRequest(ask),
+    onGrant: handleGrantRequest,
+    onCollect: (request) => creditPool.handleCollectRequest(request),
     update() {
-      const routers = view.routers()
-      const { epoch } = holder
-      const homeId = view.coordinatorOf(group.id)
-      const calls = home.update({
-        coordinator: homeId,
-        routers,
-        epoch,
+      const requests = coordinator.update({
+        coordinator: view.coordinatorOf(group.id),
+        routers: view.routers(),
+        epoch: creditPool.epoch,
         nowMs: now(),
       })
-      for (const { to, request: ask } of calls) collectFrom(to, ask)
-      send()
+      for (const { to, request } of requests) collectFrom(to, request)
+      sendPending()
     },
-    refreshQuota({ inFlight: known, ageMs }) {
-      const { maxAgeMs } = options
-      const maxLoadFactor = options.maxLoadFactor()
-      const routers = view.routers()
-      shares.refresh({
-        routers,
-        knownLoads: known,
+    refreshQuota({ inFlight, ageMs }) {
+      fallbackQuota.refresh({
+        routers: view.routers(),
+        knownLoads: inFlight,
         ageMs,
-        maxAgeMs,
-        maxLoadFactor,
+        maxAgeMs: options.maxAgeMs,
+        maxLoadFactor: options.maxLoadFactor(),
         eligible,
       })
     },
--- a/packages/daemon/src/node/routing/createGroupAllocators.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocators.ts
@@ -8,43 +8,44 @@
 import { GrantStatus } from '@auburnbay/core'
 import type { GroupAllocator } from './createGroupAllocator.js'
 
-/** The tasks of all groups on this router. */
+/** Slot allocators of all target groups on this router. */
 export interface GroupAllocators {
   getOrCreate(group: TargetGroup): GroupAllocator
   all(): readonly GroupAllocator[]
-  /** Ends the tasks of groups that are no longer there. */
+  /** Removes the allocators of all other groups. */
   retain(groups: readonly TargetGroup[]): void
-  onGrant(ask: GrantRequest): GrantResponse
-  onCollect(ask: CollectRequest): CollectResponse
+  onGrant(request: GrantRequest): GrantResponse
+  onCollect(request: CollectRequest): CollectResponse
 }
 
-/** Creates tasks on demand; a group with other members gets a new task. */
+/** Creates allocators on demand; a group whose members change gets a new allocator. */
 export function createGroupAllocators(
   router: string,
   incarnation: string,
-  createTask: (group: TargetGroup) => GroupAllocator,
+  createAllocator: (group: TargetGroup) => GroupAllocator,
 ): GroupAllocators {
-  const tasks = new Map<string, GroupAllocator>()
+  const allocators = new Map<string, GroupAllocator>()
 
-  function of(group: TargetGroup): GroupAllocator {
-    const known = tasks.get(group.id)
-    if (known?.group.membersHash === group.membersHash) return known
-    const created = createTask(group)
-    tasks.set(group.id, created)
+  function getOrCreate(group: TargetGroup): GroupAllocator {
+    const existing = allocators.get(group.id)
+    if (existing?.group.membersHash === group.membersHash) return existing
+    const created = createAllocator(group)
+    allocators.set(group.id, created)
     return created
   }
 
   return {
-    getOrCreate: of,
-    all: () => [...tasks.values()],
+    getOrCreate,
+    all: () => [...allocators.values()],
     retain(groups) {
       const ids = new Set(groups.map(({ id }) => id))
-      for (const id of tasks.keys()) if (!ids.has(id)) tasks.delete(id)
+      for (const id of allocators.keys())
+        if (!ids.has(id)) allocators.delete(id)
     },
-    onGrant(ask) {
-      const task = tasks.get(ask.group)
-      if (task) return task.onGrant(ask)
-      const granted = ask.wants.map(() => -1)
+    onGrant(request) {
+      const allocator = allocators.get(request.group)
+      if (allocator) return allocator.onGrant(request)
+      const granted = request.wants.map(() => -1)
       return {
         status: GrantStatus.NotCoordinator,
         epoch: 0,
@@ -52,9 +53,9 @@
         loans: [],
       }
     },
-    onCollect(ask) {
-      const task = tasks.get(ask.group)
-      if (task) return task.onCollect(ask)
+    onCollect(request) {
+      const allocator = allocators.get(request.group)
+      if (allocator) return allocator.onCollect(request)
       return { accepted: false, epoch: 0, router, incarnation, used: [] }
     },
   }
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -65,15 +65,7 @@
   const inFlight = createInFlightCounts()
   const load = createFleetLoad(inFlight, membership)
   const { maxVanished } = settings.routing
-  const { vms } = options
-  const view = createFleetView({
-    router,
-    configuration,
-    vms,
-    membership,
-    maxVanished,
-    now,
-  })
+  const view = createFleetView({ ...options, router, maxVanished })
   let refreshedAtMs = -Infinity
 
   const eligible = (id: string): boolean =>
@@ -119,7 +111,7 @@
       eligible,
       reportedLoad: (id) => options.reporter().report(id)?.inFlight,
       cachedOn: (key) => options.cacheEvents().targetOf(key),
-      onAllocated: ({ source, waitedMs }) => {
+      onSelected: ({ source, waitedMs }) => {
         metrics.count('placements', 1, { service, source })
         metrics.timing('decision_wait', waitedMs, { service })
       },
@@ -187,7 +179,7 @@
 
   async function selectTarget(
     request: RoutedRequest,
-    excluded: ReadonlySet<string>,
+    exclude: ReadonlySet<string>,
   ) {
     const table = tables.get(request.service)
     updates.updateIfStale()
@@ -198,10 +190,11 @@
     const groupOptions = { load, key, hint, maxLoadFactor: factor, eligible }
     for (const group of table ? chooseGroups({ table, ...groupOptions }) : []) {
       const isExcluded = (id: string): boolean =>
-        excluded.has(id) || !options.eligible(id, request.idempotent)
-      const want = createPlacementRequest(group, key, hint, isExcluded)
-      const placed = await allocators.getOrCreate(group).allocate(want)
-      const id = group.members[placed.index]?.id ?? ''
+        exclude.has(id) || !options.eligible(id, request.idempotent)
+      const slotRequest = createPlacementRequest(group, key, hint, isExcluded)
+      const allocator = allocators.getOrCreate(group)
+      const { index } = await allocator.selectTarget(slotRequest)
+      const id = group.members[index]?.id ?? ''
       const target = table?.targets.get(id)
       if (target) return ok(acquireSlot(request, target, group))
     }
@@ -234,11 +227,11 @@
     status: createStatus({ tables, load, eligible, maxLoadFactor }),
     explain,
     ownInFlight: () => inFlight.toRecord(),
-    onGrant: (ask) => {
+    onGrant: (grantRequest) => {
       updates.updateIfStale()
-      return allocators.onGrant(ask)
+      return allocators.onGrant(grantRequest)
     },
-    onCollect: (ask) => allocators.onCollect(ask),
+    onCollect: (collectRequest) => allocators.onCollect(collectRequest),
     coordinatedTargets: (includeIdle) =>
       listCoordinatedTargets(
         configuration,
--- a/packages/daemon/src/node/routing/routing.ts
+++ b/packages/daemon/src/node/routing/routing.ts
@@ -46,8 +46,10 @@
 
 /** Routing that also serves its peers as the coordinator of groups. */
 export interface CoordinatorRouting extends Routing {
-  onGrant(ask: GrantRequest): GrantResponse
-  onCollect(ask: CollectRequest): CollectResponse
+  /** Handles a peer's grant request; refused when this router does not coordinate the group. */
+  onGrant(request: GrantRequest): GrantResponse
+  /** Handles a new coordinator's request for the in-flight counts of this router. */
+  onCollect(request: CollectRequest): CollectResponse
   /** Engines of the groups that this router coordinates; `includeIdle` adds those of idle groups. */
   coordinatedTargets(includeIdle: boolean): readonly TargetAddress[]
   stop(): Promise<void>
