--- a/packages/daemon/src/node/admission/__tests__/createWaitingRouting.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/createWaitingRouting.test.ts
@@ -81,19 +81,19 @@
 describe('createWaitingRouting', () => {
   it('waits while every target is at its bound', async () => {
     const { waiting, seen } = setUp(3)
-    const placed = await waiting.selectTarget(request(), new Set())
-    assert.ok(placed.isOk())
+    const selected = await waiting.selectTarget(request(), new Set())
+    assert.ok(selected.isOk())
     assert.deepEqual(seen, { attempts: 4, pauses: 0, released: 0 })
   })
 
   it('fails as not run when the deadline passes', async () => {
     const { waiting, seen } = setUp(Infinity)
     const deadlineAtMs = Date.now() + 50
-    const placed = await waiting.selectTarget(
+    const selected = await waiting.selectTarget(
       request({ deadlineAtMs }),
       new Set(),
     )
-    const failure = placed._unsafeUnwrapErr()
+    const failure = selected._unsafeUnwrapErr()
     assert.equal(failure.code, FailureCode.DeadlinePassed)
     assert.equal(failure.verdict, 'not-run')
     assert.equal(seen.pauses, 0)
@@ -102,12 +102,12 @@
   it('fails when the caller disconnects', async () => {
     const { waiting, seen } = setUp(Infinity)
     const caller = new AbortController()
-    const placing = waiting.selectTarget(
+    const selecting = waiting.selectTarget(
       request({ signal: caller.signal }),
       new Set(),
     )
     caller.abort()
-    assert.ok((await placing).isErr())
+    assert.ok((await selecting).isErr())
     assert.equal(seen.pauses, 0)
   })
 
--- a/packages/daemon/src/node/admission/__tests__/openCall.ts
+++ b/packages/daemon/src/node/admission/__tests__/openCall.ts
@@ -16,7 +16,7 @@
   readonly headers?: Record<string, string>
 }
 
-/** Sends a streaming chat request; the response is undefined when the connection closes first. */
+/** Sends a streaming chat request; no response if it disconnects first. */
 export function openCall(options: OpenCallOptions): OpenCall {
   const agent = new Agent({ keepAlive: false })
   const req = request(`${options.url}/v1/chat/completions`, {
--- a/packages/daemon/src/node/admission/__tests__/queueing.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/queueing.test.ts
@@ -50,7 +50,7 @@
     })
   }
 
-  function waiting(count: number): Promise<void> {
+  function waitForQueued(count: number): Promise<void> {
     return eventually(() => fleet.routers[0]?.load.waiting === count)
   }
 
@@ -73,9 +73,9 @@
   it('runs the request of the more urgent rank first', async () => {
     const before = ranChats().length
     const low = call('tag')
-    await waiting(1)
+    await waitForQueued(1)
     const top = call('route')
-    await waiting(2)
+    await waitForQueued(2)
     blocker.disconnect()
     assert.equal((await low.response)?.status, 200)
     assert.equal((await top.response)?.status, 200)
@@ -85,15 +85,15 @@
   it('sheds the least urgent request at once when the queue is full', async () => {
     const before = ranChats().length
     const low = call('tag')
-    await waiting(1)
+    await waitForQueued(1)
     const mid = call('plain')
-    await waiting(2)
+    await waitForQueued(2)
     const top = call('route')
     const shed = await low.response
     assert.equal(shed?.status, 503)
     assert.equal(shed.headers[VERDICT_HEADER], 'not-run')
     assert.ok(Number(shed.headers['retry-after']) >= 1)
-    await waiting(2)
+    await waitForQueued(2)
     blocker.disconnect()
     assert.equal((await top.response)?.status, 200)
     assert.equal((await mid.response)?.status, 200)
@@ -114,9 +114,9 @@
   it('removes a request whose caller disconnects', async () => {
     const before = ranChats().length
     const gone = call('gone')
-    await waiting(1)
+    await waitForQueued(1)
     gone.disconnect()
-    await waiting(0)
+    await waitForQueued(0)
     blocker.disconnect()
     assert.equal((await call('next').response)?.status, 200)
     assert.deepEqual(ranChats().slice(before), ['next'])
@@ -125,18 +125,18 @@
   it('serves another customer before the rest of a burst', async () => {
     const before = ranChats().length
     const first = call('burst-1')
-    await waiting(1)
+    await waitForQueued(1)
     const second = call('burst-2')
-    await waiting(2)
+    await waitForQueued(2)
     const other = openCall({
       url: fleet.callerUrl(),
       key: member.text,
       prompt: 'member',
       headers: { [CHAT_HEADER]: 'member' },
     })
-    // The queue is full: a request of the burst is shed, not the other customer's.
+    // The queue is full: the burst is shed, not the other customer's request.
     assert.equal((await second.response)?.status, 503)
-    await waiting(2)
+    await waitForQueued(2)
     blocker.disconnect()
     assert.equal((await other.response)?.status, 200)
     assert.equal((await first.response)?.status, 200)
@@ -146,7 +146,7 @@
 
   it('does not block another service', async () => {
     const low = call('tag')
-    await waiting(1)
+    await waitForQueued(1)
     const answer = await callApi({
       url: `${fleet.callerUrl()}/v1/services/charts/notices`,
       headers: { authorization: `Bearer ${fleet.callerKey}` },
--- a/packages/daemon/src/node/admission/createAdmission.ts
+++ b/packages/daemon/src/node/admission/createAdmission.ts
@@ -23,7 +23,7 @@
   readonly epochNow: () => number
 }
 
-/** Interval at which the concurrency of services with queued requests is recomputed. */
+/** Interval at which services with queued requests get new concurrency. */
 const REFRESH_INTERVAL_MS = 50
 /** Interval between two reports of the queue lengths. */
 const REPORT_INTERVAL_MS = 1_000
@@ -91,7 +91,7 @@
     scheduleRefresh()
   }
 
-  // No timer runs while the queues are empty, so that an idle router does no work.
+  // No timer runs while all queues are empty: an idle router does no work.
   function scheduleRefresh(): void {
     if (refreshTimer || sumQueues((queue) => queue.waiting) === 0) return
     refreshTimer = setTimeout(refreshConcurrency, REFRESH_INTERVAL_MS)
--- a/packages/daemon/src/node/admission/createFleetAdmission.ts
+++ b/packages/daemon/src/node/admission/createFleetAdmission.ts
@@ -24,7 +24,7 @@
   readonly epochNow: () => number
 }
 
-/** Creates admission control whose limits include the usage in the peers' digests. */
+/** Creates admission control with limits that include the peers' usage. */
 export function createFleetAdmission(
   options: FleetAdmissionOptions,
 ): Admission {
--- a/packages/daemon/src/node/admission/createWaitingRouting.ts
+++ b/packages/daemon/src/node/admission/createWaitingRouting.ts
@@ -50,15 +50,15 @@
     return targets.some(({ service }) => service === request.service)
   }
 
-  async function retryUntilPlaced(
+  async function retryUntilSelected(
     signal: AbortSignal,
     request: RoutedRequest,
   ): Promise<SelectionResult> {
     for (;;) {
-      const placed = await routing.selectTarget(request, new Set())
-      if (placed.isOk() && signal.aborted) placed.value.release()
+      const selected = await routing.selectTarget(request, new Set())
+      if (selected.isOk() && signal.aborted) selected.value.release()
       signal.throwIfAborted()
-      if (placed.isOk() || !mayWait(request, placed.error)) return placed
+      if (selected.isOk() || !mayWait(request, selected.error)) return selected
       await sleep(RETRY_INTERVAL_MS, undefined, { signal })
     }
   }
@@ -71,7 +71,7 @@
     const signal = AbortSignal.any([callerSignal, waitTimeout])
     try {
       const run = (): Promise<SelectionResult> =>
-        retryUntilPlaced(signal, request)
+        retryUntilSelected(signal, request)
       const addOptions = { priority: -rank, signal }
       return await waitQueueOf(service).add(run, addOptions)
     } catch (error) {
@@ -86,9 +86,9 @@
   return {
     ...routing,
     async selectTarget(request, exclude) {
-      const placed = await routing.selectTarget(request, exclude)
-      if (placed.isOk()) return ok(placed.value)
-      if (exclude.size > 0 || !mayWait(request, placed.error)) return placed
+      const selected = await routing.selectTarget(request, exclude)
+      if (selected.isOk()) return ok(selected.value)
+      if (exclude.size > 0 || !mayWait(request, selected.error)) return selected
       return admission.pauseDuring(request.service, () => wait(request))
     },
   }
--- a/packages/daemon/src/node/limits/__tests__/fleetLimits.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/fleetLimits.test.ts
@@ -23,7 +23,8 @@
       routers: 2,
       engines: 1,
       settings: {
-        // On a busy machine a late heartbeat must not make its peer look unresponsive.
+        // A late heartbeat on a busy machine must not mark its peer
+        // unresponsive.
         peers: { heartbeatMs: 300 },
         limits: { silentHoldMs: 1_000 },
       },
--- a/packages/daemon/src/node/limits/createFleetUsage.ts
+++ b/packages/daemon/src/node/limits/createFleetUsage.ts
@@ -29,7 +29,7 @@
   readonly receivedAtMs: number
 }
 
-/** Creates the usage table; a peer that stops sending digests keeps its last one. */
+/** Creates a usage table that keeps the last digest of unresponsive peers. */
 export function createFleetUsage(options: FleetUsageOptions): FleetUsage {
   const { router, holdMs, membership, vms, now } = options
   const received = new Map<string, ReceivedDigest>()
@@ -69,7 +69,8 @@
       for (const [id, { receivedAtMs }] of received) {
         if (now() - receivedAtMs > holdMs) received.delete(id)
         else if (!routers.has(id)) {
-          // A router that left the VM list counts only while it may have requests in flight.
+          // A router that left the VM list counts only if it may still run
+          // requests.
           const peer = usageOf(id, used, asked)
           if (peer.used > 0) peers.push(peer)
         }
--- a/packages/daemon/src/node/limits/createRetries.ts
+++ b/packages/daemon/src/node/limits/createRetries.ts
@@ -13,7 +13,7 @@
 export interface Retries {
   /** Adds the first attempt of a request to the retry budget of its service. */
   recordFirstAttempt(request: RoutedRequest): void
-  /** Returns whether to retry; a retry is charged to the budget of the service. */
+  /** Returns whether to retry; charges the retry to the service's budget. */
   tryAcquire(request: RoutedRequest, failure: RequestFailure): boolean
 }
 
--- a/packages/daemon/src/node/routing/chooseGroups.ts
+++ b/packages/daemon/src/node/routing/chooseGroups.ts
@@ -17,7 +17,7 @@
 /** Maximum number of groups that a request tries before it waits. */
 const MAX_GROUPS_PER_REQUEST = 3
 
-/** Returns the groups to try in order: the hinted target's group, then those with spare capacity. */
+/** Lists the groups to try: the hinted target's, then those with capacity. */
 export function chooseGroups(choice: ChooseGroupsOptions): TargetGroup[] {
   const { table, load, key, hint, maxLoadFactor, eligible } = choice
   if (table.groups.length === 1) return [...table.groups]
--- a/packages/daemon/src/node/routing/createFleetLoad.ts
+++ b/packages/daemon/src/node/routing/createFleetLoad.ts
@@ -16,7 +16,9 @@
   update(): void
 }
 
-/** Creates the loads from this router's counts and the digests of live peers. */
+/**
+ * Creates the loads from this router's counts and the digests of live peers.
+ */
 export function createFleetLoad(
   own: InFlightCounts,
   membership: () => Pick<Membership, 'livePeers'>,
--- a/packages/daemon/src/node/routing/createFleetView.ts
+++ b/packages/daemon/src/node/routing/createFleetView.ts
@@ -21,19 +21,19 @@
   readonly now: () => number
 }
 
-/** This router's membership view: live routers and targets that accept requests. */
+/** Membership view of live routers and of targets that accept requests. */
 export interface FleetView {
   /** Live routers that are not stopping, this one included; sorted. */
   routers(): readonly string[]
   /** Coordinator of a group: the router that grants its slots. */
   coordinatorOf(groupId: string): string | undefined
-  /** Whether the VM list and the configuration let a target accept new requests. */
+  /** Whether VM list and configuration allow new requests on a target. */
   acceptsNewRequests(targetId: string): boolean
   /** Applies the current VM list and peer digests. */
   update(tables: readonly ServiceTable[]): void
 }
 
-/** Creates the view, which guards against suspect VM lists and damps flapping targets. */
+/** Creates a view that rejects suspect VM lists and damps flapping targets. */
 export function createFleetView(options: FleetViewOptions): FleetView {
   const guards = new Map<string, TargetListGuard>()
   const flapDamper = createFlapDamper()
@@ -92,7 +92,7 @@
       const nowMs = options.now()
       const next = new Set<string>()
       for (const { service, targets } of tables) {
-        // A target need not be on the VM list, but one that was on it must stay there.
+        // A target may never be listed, but once listed it must stay listed.
         const present = [...targets.keys()].filter(
           (id) => listedIds.has(id) || !everListedIds.has(id),
         )
--- a/packages/daemon/src/node/routing/createGroupAllocator.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocator.ts
@@ -22,16 +22,16 @@
   readonly group: TargetGroup
   readonly router: string
   readonly incarnation: string
-  /** Milliseconds that a request waits for the coordinator before the fallback quota is used. */
+  /** Milliseconds until a request falls back to the fallback quota. */
   readonly coordinatorTimeoutMs: number
-  /** Age of the oldest digest, in milliseconds, at which the fallback bound has shrunk to the mean load. */
+  /** Digest age in milliseconds at which the fallback bound is the mean. */
   readonly maxAgeMs: number
   readonly view: FleetView
   readonly client: Pick<PeerClient, 'grant' | 'collect'>
   readonly addressOf: (router: string) => string | undefined
   readonly now: () => number
   readonly maxLoadFactor: () => number
-  /** Mean load per unit of weight over the service; undefined if it has a single group. */
+  /** Mean load per unit of weight; undefined for a service of one group. */
   readonly serviceMean: () => number | undefined
   readonly eligible: (targetId: string) => boolean
   /** Requests in flight that the target last reported. */
@@ -49,14 +49,14 @@
   readonly ageMs: number
 }
 
-/** Acquires slots of one target group from its coordinator, which may be this router. */
+/** Acquires slots of one group from its coordinator, maybe this router. */
 export interface GroupAllocator {
   readonly group: TargetGroup
   /** Whether this router currently grants slots of the group. */
   readonly isCoordinating: boolean
-  /** Time of the last grant request handled here, in milliseconds of the monotonic clock. */
+  /** Monotonic time in milliseconds of the last grant request handled here. */
   readonly lastRequestAtMs: number
-  /** Selects a target and acquires a slot on it; the index is -1 if there is none. */
+  /** Selects a target and acquires a slot on it; index -1 means none. */
   selectTarget(request: PlacementRequest): Promise<TargetSelection>
   /** Counts a request that is already in flight. */
   recordInFlight(index: number): void
--- a/packages/daemon/src/node/routing/createGroupAllocators.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocators.ts
@@ -18,7 +18,7 @@
   onCollect(request: CollectRequest): CollectResponse
 }
 
-/** Creates allocators on demand; a group whose members change gets a new allocator. */
+/** Creates allocators on demand; changed members mean a new allocator. */
 export function createGroupAllocators(
   router: string,
   incarnation: string,
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -53,10 +53,10 @@
 
 const RETRY_AFTER_S = 1
 const UPDATE_INTERVAL_MS = 100
-/** Number of load report intervals for which a group stays active after its last request. */
+/** Load report intervals that a group stays active after its last request. */
 const IDLE_REPORT_ROUNDS = 3
 
-/** Creates routing that acquires slots from the coordinator of each target group. */
+/** Creates routing that acquires slots from each group's coordinator. */
 export function createRouting(options: RoutingOptions): CoordinatorRouting {
   const { settings, incarnation, configuration, membership, metrics, now } =
     options
@@ -71,7 +71,7 @@
   const eligible = (id: string): boolean =>
     view.acceptsNewRequests(id) && options.eligible(id, true)
 
-  /** An idle group need not be polled: it has no load to report and no new cache events. */
+  /** An idle group has no load to report and no new cache events. */
   function isActive(group: TargetGroup): boolean {
     const idleMs = now() - allocators.getOrCreate(group).lastRequestAtMs
     if (idleMs <= IDLE_REPORT_ROUNDS * settings.targets.reportMs) return true
@@ -155,7 +155,7 @@
   ): TargetSlot {
     let released = false
     inFlight.add(target.id, 1)
-    // The group may have changed while the request waited; its new allocator has not counted the request.
+    // An allocator created while the request waited has not counted it.
     const current = tables.getTarget(target.id)
     if (current && current.group.membersHash !== group.membersHash)
       allocators.getOrCreate(current.group).recordInFlight(current.index)
--- a/packages/daemon/src/node/routing/createServiceTables.ts
+++ b/packages/daemon/src/node/routing/createServiceTables.ts
@@ -47,7 +47,7 @@
   return { service, groups, ring: createGroupRing(groups), targets }
 }
 
-/** Creates the tables; they are rebuilt when the configuration object changes. */
+/** Creates tables that are rebuilt when the configuration changes. */
 export function createServiceTables(
   configuration: () => Configuration,
 ): ServiceTables {
--- a/packages/daemon/src/node/routing/createStatus.ts
+++ b/packages/daemon/src/node/routing/createStatus.ts
@@ -10,7 +10,7 @@
   readonly maxLoadFactor: (service: string) => number
 }
 
-/** Creates the function that lists the targets with their loads from the latest digests. */
+/** Creates the function that lists targets with loads by latest digests. */
 export function createStatus(options: StatusOptions): Routing['status'] {
   const { tables, load, eligible, maxLoadFactor } = options
 
--- a/packages/daemon/src/node/routing/createUpdateScheduler.ts
+++ b/packages/daemon/src/node/routing/createUpdateScheduler.ts
@@ -1,6 +1,6 @@
 /** Schedules updates of the membership view. */
 export interface UpdateScheduler {
-  /** Updates if the last update is more than two intervals old; called before the view is used. */
+  /** Updates a view that is more than two intervals old; call before use. */
   updateIfStale(): void
   /** Called every interval; an idle router updates less often. */
   updateIfDue(): void
--- a/packages/daemon/src/node/routing/listCoordinatedTargets.ts
+++ b/packages/daemon/src/node/routing/listCoordinatedTargets.ts
@@ -6,7 +6,7 @@
 import type { FleetView } from './createFleetView.js'
 import type { GroupedTarget, ServiceTables } from './createServiceTables.js'
 
-/** Lists the engines of the groups that `router` coordinates and `isPolled` accepts. */
+/** Lists the engines of polled groups that `router` coordinates. */
 export function listCoordinatedTargets(
   configuration: () => Configuration,
   tables: ServiceTables,
--- a/packages/daemon/src/node/routing/resolveHint.ts
+++ b/packages/daemon/src/node/routing/resolveHint.ts
@@ -1,7 +1,7 @@
 import { verifyHint, ServiceKind } from '@auburnbay/core'
 import type { RoutedRequest } from '../callers/routedRequest.js'
 
-/** Returns the target named by a request's hint if the hint was signed for the request's chat. */
+/** Returns the target in a request's hint if it is signed for its chat. */
 export function resolveHint(
   secret: string,
   request: RoutedRequest,
--- a/packages/daemon/src/node/routing/routing.ts
+++ b/packages/daemon/src/node/routing/routing.ts
@@ -46,11 +46,11 @@
 
 /** Routing that also serves its peers as the coordinator of groups. */
 export interface CoordinatorRouting extends Routing {
-  /** Handles a peer's grant request; refused when this router does not coordinate the group. */
+  /** Handles a peer's request for slots; rejected by a non-coordinator. */
   onGrant(request: GrantRequest): GrantResponse
-  /** Handles a new coordinator's request for the in-flight counts of this router. */
+  /** Returns this router's in-flight counts to a new coordinator. */
   onCollect(request: CollectRequest): CollectResponse
-  /** Engines of the groups that this router coordinates; `includeIdle` adds those of idle groups. */
+  /** Engines of groups coordinated here; `includeIdle` adds idle groups. */
   coordinatedTargets(includeIdle: boolean): readonly TargetAddress[]
   stop(): Promise<void>
 }
