--- a/packages/daemon/src/node/routing/createExplain.ts
+++ b/packages/daemon/src/node/routing/createExplain.ts
@@ -6,23 +6,23 @@
 import type { Routing } from './routing.js'
 import { HintSource } from './routingExplanation.js'
 
-/** What an explanation works with. */
+/** Options for {@link createExplain}. */
 export interface ExplainOptions {
   readonly tables: ServiceTables
   readonly load: FleetLoad
   readonly view: FleetView
   readonly eligible: (targetId: string) => boolean
   readonly maxLoadFactor: (service: string) => number
-  /** Target that holds a chat, as far as cache events tell this router. */
-  readonly indexed: (key: string) => string | undefined
+  /** Target whose cache has a chat according to its cache events. */
+  readonly cachedOn: (key: string) => string | undefined
 }
 
-/** Creates the answer to why a chat's next request would go somewhere. */
+/** Creates the function that explains where a chat's next request would go. */
 export function createExplain(options: ExplainOptions): Routing['explain'] {
   const { tables, load, view, eligible, maxLoadFactor } = options
 
   return (service, customer, chat) => {
-    const table = tables.tableOf(service)
+    const table = tables.get(service)
     const key = chatKey(chat)
     const [group] = table?.ring.groupsOf(key) ?? []
     if (!table || !group) {
@@ -31,12 +31,12 @@
     }
     const mean = load.mean(table, eligible)
     const order = rendezvousOrder(key, group.members)
-    const hintedTarget = options.indexed(key)
+    const hintedTarget = options.cachedOn(key)
     const hinted = order.filter(({ id }) => id === hintedTarget)
     const others = order.filter(({ id }) => id !== hintedTarget)
     const candidates = [...hinted, ...others].map(({ id, weight }) => ({
       id,
-      load: load.of(id),
+      load: load.get(id),
       bound:
         maxLoadFactor(service) *
           (mean + 1 / Math.max(1, order.length)) *
@@ -44,7 +44,7 @@
         1,
       eligible: eligible(id),
     }))
-    const fits = candidates.find(
+    const chosen = candidates.find(
       (candidate) =>
         candidate.eligible && candidate.load + 1 <= candidate.bound,
     )
@@ -54,9 +54,9 @@
       chat,
       hintSource: hinted.length > 0 ? HintSource.CacheEvents : HintSource.None,
       hintedTarget,
-      home: view.homeOf(group.id),
+      home: view.coordinatorOf(group.id),
       candidates,
-      chosen: fits?.id,
+      chosen: chosen?.id,
     }
   }
 }
--- a/packages/daemon/src/node/routing/createFleetView.ts
+++ b/packages/daemon/src/node/routing/createFleetView.ts
@@ -10,43 +10,44 @@
 import type { Membership } from '../membership/createMembership.js'
 import type { ServiceTable } from './createServiceTables.js'
 
-/** What a fleet view works with. */
+/** Options for {@link createFleetView}. */
 export interface FleetViewOptions {
   readonly router: string
   readonly configuration: () => Configuration
   readonly vms: () => readonly VmEntry[]
   readonly membership: () => Pick<Membership, 'livePeers'>
+  /** Share of a service's targets that may vanish from the VM list at once. */
   readonly maxVanished: number
   readonly now: () => number
 }
 
-/** Which routers and targets this router believes to be there. */
+/** Membership view of live routers and of targets that accept requests. */
 export interface FleetView {
-  /** Routers that are alive and not stopping, this one included. */
+  /** Live routers that are not stopping, this one included; sorted. */
   routers(): readonly string[]
-  /** Router that grants places on a group. */
-  homeOf(groupId: string): string | undefined
-  /** Whether VM list and configuration let a target take new work. */
-  listed(targetId: string): boolean
-  /** Takes in the VM list as it is now. */
+  /** Coordinator of a group: the router that grants its slots. */
+  coordinatorOf(groupId: string): string | undefined
+  /** Whether VM list and configuration allow new requests on a target. */
+  acceptsNewRequests(targetId: string): boolean
+  /** Applies the current VM list and peer digests. */
   update(tables: readonly ServiceTable[]): void
 }
 
-/** Creates the view; a suspect VM list and flapping targets are damped. */
+/** Creates a view that rejects suspect VM lists and damps flapping targets. */
 export function createFleetView(options: FleetViewOptions): FleetView {
   const guards = new Map<string, TargetListGuard>()
-  const damper = createFlapDamper()
-  const homes = new Map<string, string | undefined>()
-  let accepted = new Set<string>()
-  let leaving = new Set<string>()
-  let known = new Set<string>()
+  const flapDamper = createFlapDamper()
+  const coordinators = new Map<string, string | undefined>()
+  let acceptedIds = new Set<string>()
+  let departingIds = new Set<string>()
+  let listedIds = new Set<string>()
   let routers: string[] = [options.router]
-  const everListed = new Set<string>()
-  let seenVms: readonly VmEntry[] | undefined
+  const everListedIds = new Set<string>()
+  let lastVms: readonly VmEntry[] | undefined
 
   function guardOf(service: string): TargetListGuard {
-    const guard = guards.get(service)
-    if (guard) return guard
+    const existing = guards.get(service)
+    if (existing) return existing
     const created = createTargetListGuard({ maxVanished: options.maxVanished })
     guards.set(service, created)
     return created
@@ -61,48 +62,48 @@
     const next = [options.router, ...live].sort()
     if (next.join('\n') === routers.join('\n')) return
     routers = next
-    homes.clear()
+    coordinators.clear()
   }
 
-  function readVms(): void {
+  function updateVms(): void {
     const vms = options.vms()
-    if (vms === seenVms) return
-    seenVms = vms
-    known = new Set(vms.map(({ id }) => id))
-    leaving = new Set()
+    if (vms === lastVms) return
+    lastVms = vms
+    listedIds = new Set(vms.map(({ id }) => id))
+    departingIds = new Set()
     for (const { id, state } of vms)
-      if (state === MemberState.Leaving) leaving.add(id)
+      if (state === MemberState.Leaving) departingIds.add(id)
   }
 
   return {
     routers: () => routers,
-    homeOf(groupId) {
-      if (!homes.has(groupId))
-        homes.set(groupId, selectCoordinator(groupId, routers))
-      return homes.get(groupId)
+    coordinatorOf(groupId) {
+      if (!coordinators.has(groupId))
+        coordinators.set(groupId, selectCoordinator(groupId, routers))
+      return coordinators.get(groupId)
     },
-    listed(targetId) {
+    acceptsNewRequests(targetId) {
       if (options.configuration().targets[targetId]?.draining) return false
-      return accepted.has(targetId) && !leaving.has(targetId)
+      return acceptedIds.has(targetId) && !departingIds.has(targetId)
     },
     update(tables) {
       updateRouters()
-      readVms()
+      updateVms()
       const nowMs = options.now()
       const next = new Set<string>()
       for (const { service, targets } of tables) {
-        // Targets need not be on the list; those that were on it must stay.
+        // A target may never be listed, but once listed it must stay listed.
         const present = [...targets.keys()].filter(
-          (id) => known.has(id) || !everListed.has(id),
+          (id) => listedIds.has(id) || !everListedIds.has(id),
         )
         for (const id of guardOf(service).accept(present, nowMs)) next.add(id)
         for (const id of targets.keys()) {
-          if (known.has(id)) everListed.add(id)
-          const there = next.has(id) && !leaving.has(id)
-          if (!damper.update(id, there, nowMs)) next.delete(id)
+          if (listedIds.has(id)) everListedIds.add(id)
+          const isPresent = next.has(id) && !departingIds.has(id)
+          if (!flapDamper.update(id, isPresent, nowMs)) next.delete(id)
         }
       }
-      accepted = next
+      acceptedIds = next
     },
   }
 }
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -21,21 +21,21 @@
 import { createExplain } from './createExplain.js'
 import { createFleetLoad } from './createFleetLoad.js'
 import { createFleetView } from './createFleetView.js'
-import { createGroupTask } from './createGroupTask.js'
-import { createGroupTasks } from './createGroupTasks.js'
-import { createInFlight } from './createInFlight.js'
+import { createGroupAllocator } from './createGroupAllocator.js'
+import { createGroupAllocators } from './createGroupAllocators.js'
+import { createInFlightCounts } from './createInFlightCounts.js'
 import {
   createServiceTables,
   type GroupedTarget,
 } from './createServiceTables.js'
-import { createUpdatePace } from './createUpdatePace.js'
-import { createWant } from './createWant.js'
+import { createUpdateScheduler } from './createUpdateScheduler.js'
+import { createPlacementRequest } from './createPlacementRequest.js'
 import { createStatus } from './createStatus.js'
-import { homeTargets } from './homeTargets.js'
-import { findHint } from './findHint.js'
+import { listCoordinatedTargets } from './listCoordinatedTargets.js'
+import { resolveHint } from './resolveHint.js'
 import type { CoordinatorRouting, TargetSlot, Routing } from './routing.js'
 
-/** What the choice of targets works with. */
+/** Options for {@link createRouting}. */
 export interface RoutingOptions {
   readonly settings: ResolvedSettings
   readonly incarnation: string
@@ -45,45 +45,37 @@
   readonly client: Pick<PeerClient, 'grant' | 'collect'>
   readonly reporter: () => Pick<LoadReporter, 'report'>
   readonly cacheEvents: () => Pick<CacheEventReader, 'targetOf'>
-  /** Whether a target's health lets a request go there. */
+  /** Whether the health of a target allows a request to be sent there. */
   readonly eligible: (targetId: string, idempotent: boolean) => boolean
   readonly metrics: Metrics
   readonly now: () => number
 }
 
 const RETRY_AFTER_S = 1
-const UPDATE_MS = 100
-/** Rounds of reports that a group still gets after its last request has ended. */
-const REPORTS_AFTER_USE = 3
+const UPDATE_INTERVAL_MS = 100
+/** Load report intervals that a group stays active after its last request. */
+const IDLE_REPORT_ROUNDS = 3
 
-/** Creates routing by grants of each group's home router. */
+/** Creates routing that acquires slots from each group's coordinator. */
 export function createRouting(options: RoutingOptions): CoordinatorRouting {
   const { settings, incarnation, configuration, membership, metrics, now } =
     options
   const router = settings.router.id
   const tables = createServiceTables(configuration)
-  const inFlight = createInFlight()
+  const inFlight = createInFlightCounts()
   const load = createFleetLoad(inFlight, membership)
   const { maxVanished } = settings.routing
-  const { vms } = options
-  const view = createFleetView({
-    router,
-    configuration,
-    vms,
-    membership,
-    maxVanished,
-    now,
-  })
+  const view = createFleetView({ ...options, router, maxVanished })
   let refreshedAtMs = -Infinity
 
   const eligible = (id: string): boolean =>
-    view.listed(id) && options.eligible(id, true)
+    view.acceptsNewRequests(id) && options.eligible(id, true)
 
-  /** A group without requests has no load to report and no new cache events. */
-  function inUse(group: TargetGroup): boolean {
-    const idleMs = now() - tasks.of(group).askedAtMs
-    if (idleMs <= REPORTS_AFTER_USE * settings.targets.reportMs) return true
-    return group.members.some(({ id }) => load.of(id) > 0)
+  /** An idle group has no load to report and no new cache events. */
+  function isActive(group: TargetGroup): boolean {
+    const idleMs = now() - allocators.getOrCreate(group).lastRequestAtMs
+    if (idleMs <= IDLE_REPORT_ROUNDS * settings.targets.reportMs) return true
+    return group.members.some(({ id }) => load.get(id) > 0)
   }
 
   function addressOf(peer: string): string | undefined {
@@ -97,18 +89,18 @@
   }
 
   function serviceMean(service: string): number | undefined {
-    const table = tables.tableOf(service)
+    const table = tables.get(service)
     if (!table || table.groups.length < 2) return undefined
     return load.mean(table, eligible)
   }
 
-  const tasks = createGroupTasks(router, incarnation, (group) => {
+  const allocators = createGroupAllocators(router, incarnation, (group) => {
     const { service, membersHash } = group
-    const task = createGroupTask({
+    const allocator = createGroupAllocator({
       group,
       router,
       incarnation: `${incarnation}/${membersHash.toString(36)}`,
-      homeLimitMs: settings.routing.homeLimitMs,
+      coordinatorTimeoutMs: settings.routing.homeLimitMs,
       maxAgeMs: settings.peers.timeoutMs,
       view,
       client: options.client,
@@ -117,23 +109,24 @@
       maxLoadFactor: () => maxLoadFactor(service),
       serviceMean: () => serviceMean(service),
       eligible,
-      reported: (id) => options.reporter().report(id)?.inFlight,
-      indexed: (key) => options.cacheEvents().targetOf(key),
-      onPlaced: ({ source, waitedMs }) => {
+      reportedLoad: (id) => options.reporter().report(id)?.inFlight,
+      cachedOn: (key) => options.cacheEvents().targetOf(key),
+      onSelected: ({ source, waitedMs }) => {
         metrics.count('placements', 1, { service, source })
         metrics.timing('decision_wait', waitedMs, { service })
       },
     })
     for (const [index, { id }] of group.members.entries())
-      for (let count = inFlight.of(id); count > 0; count -= 1) task.adopt(index)
-    return task
+      for (let count = inFlight.get(id); count > 0; count -= 1)
+        allocator.recordInFlight(index)
+    return allocator
   })
 
-  function refresh(): void {
+  function refreshLoads(): void {
     load.update()
-    for (const task of tasks.all()) {
-      const known = task.group.members.map(({ id }) => load.of(id))
-      task.refresh({ known, ageMs: load.ageMs() })
+    for (const allocator of allocators.all()) {
+      const loads = allocator.group.members.map(({ id }) => load.get(id))
+      allocator.refreshQuota({ inFlight: loads, ageMs: load.ageMs() })
     }
     refreshedAtMs = now()
   }
@@ -142,66 +135,70 @@
     const all = tables.all()
     view.update(all)
     const groups = all.flatMap((table) => table.groups)
-    tasks.keep(groups)
-    for (const group of groups) tasks.of(group).update()
-    if (now() - refreshedAtMs >= settings.peers.heartbeatMs) refresh()
+    allocators.retain(groups)
+    for (const group of groups) allocators.getOrCreate(group).update()
+    if (now() - refreshedAtMs >= settings.peers.heartbeatMs) refreshLoads()
   }
 
-  const everyMs = Math.min(UPDATE_MS, settings.peers.heartbeatMs)
-  const pace = createUpdatePace({
+  const intervalMs = Math.min(UPDATE_INTERVAL_MS, settings.peers.heartbeatMs)
+  const updates = createUpdateScheduler({
     update,
-    inUse: () => tables.all().some((table) => table.groups.some(inUse)),
-    everyMs,
+    isActive: () => tables.all().some((table) => table.groups.some(isActive)),
+    intervalMs,
     now,
   })
 
-  function hold(
+  function acquireSlot(
     request: RoutedRequest,
     target: GroupedTarget,
     group: TargetGroup,
   ): TargetSlot {
     let released = false
     inFlight.add(target.id, 1)
-    // A task made while the request waited has not counted it.
-    const current = tables.target(target.id)
+    // An allocator created while the request waited has not counted it.
+    const current = tables.getTarget(target.id)
     if (current && current.group.membersHash !== group.membersHash)
-      tasks.of(current.group).adopt(current.index)
+      allocators.getOrCreate(current.group).recordInFlight(current.index)
     const { customer, service, chat, serviceKind } = request
     const owner = { customer, service, chat }
-    const hinted = serviceKind === ServiceKind.Model && chat !== ''
+    const hasHint = serviceKind === ServiceKind.Model && chat !== ''
     return {
       target,
-      hint: hinted
+      hint: hasHint
         ? signHint(settings.secrets.hint, owner, target.id)
         : undefined,
       release: () => {
         if (released) return
         released = true
         inFlight.add(target.id, -1)
-        const now = tables.target(target.id)
-        if (now) tasks.of(now.group).finished(now.index)
+        const latest = tables.getTarget(target.id)
+        if (latest) allocators.getOrCreate(latest.group).release(latest.index)
       },
     }
   }
 
-  async function place(request: RoutedRequest, excluded: ReadonlySet<string>) {
-    const table = tables.tableOf(request.service)
-    pace.whenOld()
+  async function selectTarget(
+    request: RoutedRequest,
+    exclude: ReadonlySet<string>,
+  ) {
+    const table = tables.get(request.service)
+    updates.updateIfStale()
     const key = chatKey(request.chat === '' ? request.id : request.chat)
-    const hinted = findHint(settings.secrets.hint, request)
-    const hint = hinted === undefined ? undefined : table?.targets.get(hinted)
+    const hintId = resolveHint(settings.secrets.hint, request)
+    const hint = hintId === undefined ? undefined : table?.targets.get(hintId)
     const factor = maxLoadFactor(request.service)
-    const choice = { load, key, hint, maxLoadFactor: factor, eligible }
-    for (const group of table ? chooseGroups({ table, ...choice }) : []) {
-      const barred = (id: string): boolean =>
-        excluded.has(id) || !options.eligible(id, request.idempotent)
-      const want = createWant(group, key, hint, barred)
-      const placed = await tasks.of(group).place(want)
-      const id = group.members[placed.index]?.id ?? ''
+    const groupOptions = { load, key, hint, maxLoadFactor: factor, eligible }
+    for (const group of table ? chooseGroups({ table, ...groupOptions }) : []) {
+      const isExcluded = (id: string): boolean =>
+        exclude.has(id) || !options.eligible(id, request.idempotent)
+      const slotRequest = createPlacementRequest(group, key, hint, isExcluded)
+      const allocator = allocators.getOrCreate(group)
+      const { index } = await allocator.selectTarget(slotRequest)
+      const id = group.members[index]?.id ?? ''
       const target = table?.targets.get(id)
-      if (target) return ok(hold(request, target, group))
+      if (target) return ok(acquireSlot(request, target, group))
     }
-    const message = `no target of ${request.service} can take the request`
+    const message = `no target of service ${request.service} can accept the request`
     return err(
       createFailure(FailureCode.NoTarget, message, undefined, RETRY_AFTER_S),
     )
@@ -213,36 +210,36 @@
     view,
     eligible,
     maxLoadFactor,
-    indexed: (key) => options.cacheEvents().targetOf(key),
+    cachedOn: (key) => options.cacheEvents().targetOf(key),
   })
 
-  const loop = createLoop(
+  const updateLoop = createLoop(
     () => {
-      pace.inTurn()
+      updates.updateIfDue()
       return Promise.resolve()
     },
-    everyMs,
+    intervalMs,
     () => undefined,
   )
 
   return {
-    place,
+    selectTarget,
     status: createStatus({ tables, load, eligible, maxLoadFactor }),
     explain,
-    ownInFlight: () => inFlight.all(),
-    onGrant: (ask) => {
-      pace.whenOld()
-      return tasks.onGrant(ask)
+    ownInFlight: () => inFlight.toRecord(),
+    onGrant: (grantRequest) => {
+      updates.updateIfStale()
+      return allocators.onGrant(grantRequest)
     },
-    onCollect: (ask) => tasks.onCollect(ask),
-    coordinatedTargets: (resting) =>
-      homeTargets(
+    onCollect: (collectRequest) => allocators.onCollect(collectRequest),
+    coordinatedTargets: (includeIdle) =>
+      listCoordinatedTargets(
         configuration,
         tables,
         view,
         router,
-        (group) => resting || inUse(group),
+        (group) => includeIdle || isActive(group),
       ),
-    stop: () => loop.stop(),
+    stop: () => updateLoop.stop(),
   }
 }
--- a/packages/daemon/src/node/routing/createServiceTables.ts
+++ b/packages/daemon/src/node/routing/createServiceTables.ts
@@ -14,7 +14,7 @@
   readonly index: number
 }
 
-/** The targets of a service, prepared for fast choices. */
+/** Targets of a service, indexed for target selection. */
 export interface ServiceTable {
   readonly service: string
   readonly groups: readonly TargetGroup[]
@@ -22,21 +22,21 @@
   readonly targets: ReadonlyMap<string, GroupedTarget>
 }
 
-/** Tables of all services. */
+/** Routing tables of all services. */
 export interface ServiceTables {
-  tableOf(service: string): ServiceTable | undefined
+  get(service: string): ServiceTable | undefined
   all(): readonly ServiceTable[]
-  target(id: string): GroupedTarget | undefined
+  getTarget(id: string): GroupedTarget | undefined
 }
 
 function createTable(
   service: string,
   configuration: Configuration,
 ): ServiceTable {
-  const own = Object.entries(configuration.targets)
+  const serviceTargets = Object.entries(configuration.targets)
     .filter(([, target]) => target.service === service)
     .map(([id, { weight }]) => ({ id, weight }))
-  const groups = groupTargets(service, own)
+  const groups = groupTargets(service, serviceTargets)
   const targets = new Map<string, GroupedTarget>()
   for (const group of groups) {
     for (const [index, { id }] of group.members.entries()) {
@@ -51,13 +51,13 @@
 export function createServiceTables(
   configuration: () => Configuration,
 ): ServiceTables {
-  let built: Configuration | undefined
+  let builtFrom: Configuration | undefined
   let tables = new Map<string, ServiceTable>()
 
   function current(): Map<string, ServiceTable> {
     const cfg = configuration()
-    if (cfg === built) return tables
-    built = cfg
+    if (cfg === builtFrom) return tables
+    builtFrom = cfg
     tables = new Map(
       Object.keys(cfg.services).map((service) => [
         service,
@@ -68,9 +68,9 @@
   }
 
   return {
-    tableOf: (service) => current().get(service),
+    get: (service) => current().get(service),
     all: () => [...current().values()],
-    target(id) {
+    getTarget(id) {
       const service = configuration().targets[id]?.service
       return service === undefined
         ? undefined
--- a/packages/daemon/src/node/routing/createStatus.ts
+++ b/packages/daemon/src/node/routing/createStatus.ts
@@ -2,7 +2,7 @@
 import type { ServiceTable, ServiceTables } from './createServiceTables.js'
 import type { Routing, TargetStatus } from './routing.js'
 
-/** What the list of targets is made from. */
+/** Options for {@link createStatus}. */
 export interface StatusOptions {
   readonly tables: ServiceTables
   readonly load: FleetLoad
@@ -10,7 +10,7 @@
   readonly maxLoadFactor: (service: string) => number
 }
 
-/** Creates the list of targets with their loads by the latest digests. */
+/** Creates the function that lists targets with loads by latest digests. */
 export function createStatus(options: StatusOptions): Routing['status'] {
   const { tables, load, eligible, maxLoadFactor } = options
 
@@ -22,7 +22,7 @@
       id,
       service: table.service,
       address: table.targets.get(id)?.address ?? '',
-      load: load.of(id),
+      load: load.get(id),
       bound: factor * mean * weight + 1,
     }))
   }
--- a/packages/daemon/src/node/routing/findHint.ts
+++ b/packages/daemon/src/node/routing/resolveHint.ts
@@ -1,8 +1,8 @@
 import { verifyHint, ServiceKind } from '@auburnbay/core'
 import type { RoutedRequest } from '../callers/routedRequest.js'
 
-/** Returns the target that a request's own genuine hint names. */
-export function findHint(
+/** Returns the target in a request's hint if it is signed for its chat. */
+export function resolveHint(
   secret: string,
   request: RoutedRequest,
 ): string | undefined {
