--- a/packages/daemon/src/node/__tests__/callApi.ts
+++ b/packages/daemon/src/node/__tests__/callApi.ts
@@ -2,16 +2,16 @@
 import { CHAT_HEADER } from '@auburnbay/core'
 
 /** A whole answer as a caller saw it. */
-export interface CallerAnswer {
+export interface CallerResponse {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly text: string
   /** Whether the answer ended cleanly. */
-  readonly whole: boolean
+  readonly complete: boolean
 }
 
 /** What a test sends. */
-export interface CallerCall {
+export interface CallerRequest {
   readonly url: string
   readonly method?: string
   readonly headers?: Record<string, string>
@@ -19,7 +19,7 @@
 }
 
 /** Sends a request as a caller; rejects when there is no answer at all. */
-export function callApi(call: CallerCall): Promise<CallerAnswer> {
+export function callApi(call: CallerRequest): Promise<CallerResponse> {
   const { url, method = 'GET', headers = {}, body } = call
   return new Promise((resolve, reject) => {
     const agent = new Agent({ keepAlive: false })
@@ -38,7 +38,7 @@
           status: statusCode,
           headers: received,
           text,
-          whole: complete,
+          complete: complete,
         })
       })
     })
@@ -52,7 +52,7 @@
   key: string,
   chat: string,
   headers: Record<string, string> = {},
-): Promise<CallerAnswer> {
+): Promise<CallerResponse> {
   return callApi({
     url: `${baseUrl}/v1/chat/completions`,
     method: 'POST',
--- a/packages/daemon/src/node/__tests__/wholePath.test.ts
+++ b/packages/daemon/src/node/__tests__/wholePath.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { after, before, describe, it } from 'node:test'
 import { CACHE_HEADER, TARGET_HEADER, VERDICT_HEADER } from '@auburnbay/core'
-import { callApi, type CallerCall, callChat } from './callApi.js'
+import { callApi, type CallerRequest, callChat } from './callApi.js'
 import { eventually, type Fleet, startFleet } from './startFleet.js'
 
 describe('the whole path', () => {
@@ -18,7 +18,7 @@
     const first = await callChat(fleet.callerUrl(0), key, 'voyage-1')
     const second = await callChat(fleet.callerUrl(1), key, 'voyage-1')
     assert.equal(first.status, 200)
-    assert.ok(first.whole)
+    assert.ok(first.complete)
     assert.match(first.text, /data: \[DONE\]/)
     assert.equal(second.headers[TARGET_HEADER], first.headers[TARGET_HEADER])
     assert.equal(second.headers[CACHE_HEADER], 'hit')
@@ -52,7 +52,7 @@
     const cases: {
       name: string
       status: number
-      call: (key: string) => Omit<CallerCall, 'url'> & { path: string }
+      call: (key: string) => Omit<CallerRequest, 'url'> & { path: string }
     }[] = [
       {
         name: 'no key',
--- a/packages/daemon/src/node/admin/submitPatch.ts
+++ b/packages/daemon/src/node/admin/submitPatch.ts
@@ -5,7 +5,10 @@
   type PatchOutcome,
   type PatchRecord,
 } from '@auburnbay/core'
-import { ACCEPT_CHECK_MS, ACCEPT_TIMEOUT_MS } from '../constants.js'
+import {
+  PATCH_CONFIRMATION_POLL_MS,
+  PATCH_CONFIRMATION_TIMEOUT_MS,
+} from '../constants.js'
 import type { ConfigurationTailer } from '../configuration/createConfigurationTailer.js'
 import type { LogClient } from '../logService/logClient.js'
 
@@ -37,12 +40,12 @@
   tailer: ConfigurationTailer,
   patchId: string,
 ): Promise<PatchOutcome | undefined> {
-  const end = performance.now() + ACCEPT_TIMEOUT_MS
+  const end = performance.now() + PATCH_CONFIRMATION_TIMEOUT_MS
   while (performance.now() < end) {
     const outcome = tailer.state.outcomes.get(patchId)
     if (outcome) return outcome
     await tailer.refresh()
-    await sleep(ACCEPT_CHECK_MS)
+    await sleep(PATCH_CONFIRMATION_POLL_MS)
   }
   return undefined
 }
--- a/packages/daemon/src/node/admission/__tests__/openCall.ts
+++ b/packages/daemon/src/node/admission/__tests__/openCall.ts
@@ -1,9 +1,9 @@
 import { Agent, request } from 'node:http'
-import type { CallerAnswer } from '../../__tests__/callApi.js'
+import type { CallerResponse } from '../../__tests__/callApi.js'
 
 /** A request whose caller can disconnect before the response. */
 export interface OpenCall {
-  readonly response: Promise<CallerAnswer | undefined>
+  readonly response: Promise<CallerResponse | undefined>
   /** Closes the connection before the response has ended. */
   disconnect(): void
 }
@@ -28,7 +28,7 @@
       ...options.headers,
     },
   })
-  const response = new Promise<CallerAnswer | undefined>((resolve) => {
+  const response = new Promise<CallerResponse | undefined>((resolve) => {
     req.once('error', () => {
       resolve(undefined)
     })
@@ -41,7 +41,7 @@
       res.once('error', () => undefined)
       res.once('close', () => {
         const { statusCode = 0, headers, complete } = res
-        resolve({ status: statusCode, headers, text, whole: complete })
+        resolve({ status: statusCode, headers, text, complete: complete })
       })
     })
   })
--- a/packages/daemon/src/node/callers/__tests__/verdicts.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/verdicts.test.ts
@@ -4,7 +4,7 @@
 import { VERDICT_HEADER } from '@auburnbay/core'
 import type { PlainFaults } from '@auburnbay/stand-ins'
 import { addService } from '../../__tests__/addService.js'
-import { callApi, type CallerAnswer } from '../../__tests__/callApi.js'
+import { callApi, type CallerResponse } from '../../__tests__/callApi.js'
 import { type Fleet, startFleet } from '../../__tests__/startFleet.js'
 
 describe('the verdict on a call to a plain service', () => {
@@ -32,7 +32,7 @@
   function call(
     method: string,
     headers: Record<string, string> = {},
-  ): Promise<CallerAnswer> {
+  ): Promise<CallerResponse> {
     return callApi({
       url: `${fleet.callerUrl()}/v1/services/charts/notices`,
       method,
@@ -121,7 +121,7 @@
       url: `${fleet.callerUrl()}/v1/services/old/x`,
       headers: { authorization: `Bearer ${fleet.callerKey}` },
     }).then(
-      (answer) => answer.whole,
+      (answer) => answer.complete,
       () => false,
     )
     server.close()
--- a/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
@@ -5,7 +5,7 @@
 import { type EngineRun, streamText } from '@auburnbay/stand-ins'
 import {
   callApi,
-  type CallerAnswer,
+  type CallerResponse,
   callChat,
 } from '../../__tests__/callApi.js'
 import {
@@ -48,13 +48,13 @@
     return run
   }
 
-  function call(headers: Record<string, string> = {}): Promise<CallerAnswer> {
+  function call(headers: Record<string, string> = {}): Promise<CallerResponse> {
     return callChat(fleet.callerUrl(), fleet.callerKey, 'chat-1', headers)
   }
 
-  function assertWhole(answer: CallerAnswer): void {
+  function assertWhole(answer: CallerResponse): void {
     assert.equal(answer.status, 200)
-    assert.ok(answer.whole)
+    assert.ok(answer.complete)
     assert.equal(answer.text, streamText(lastRun()))
   }
 
@@ -88,7 +88,7 @@
     engine().script.push({ forgetRuns: true }, { forgetRuns: true })
     engine().script.push({ forgetRuns: true })
     const answer = await call()
-    assert.equal(answer.whole, false)
+    assert.equal(answer.complete, false)
     assert.ok(streamText(lastRun()).startsWith(answer.text))
   })
 
@@ -97,7 +97,7 @@
     for (let tries = 0; tries < 4; tries += 1)
       engine().script.push({ crossAnswers: true })
     const answer = await call()
-    assert.equal(answer.whole, false)
+    assert.equal(answer.complete, false)
     assert.ok(streamText(lastRun()).startsWith(answer.text))
   })
 
@@ -129,13 +129,13 @@
       }),
     })
     assert.equal(answer.status, 200)
-    assert.equal(answer.whole, false)
+    assert.equal(answer.complete, false)
   })
 
   it('is cancelled at the engine when the deadline passes', async () => {
     engine().script.push({ silentAfterEvents: 2 }, { silent: true })
     const answer = await call({ 'x-auburnbay-deadline-ms': '60' })
-    assert.equal(answer.whole, false)
+    assert.equal(answer.complete, false)
   })
 
   it('is refused as not run when its deadline has passed', async () => {
--- a/packages/daemon/src/node/callers/createAttempt.ts
+++ b/packages/daemon/src/node/callers/createAttempt.ts
@@ -3,15 +3,15 @@
 import { err, ok, type Result } from 'neverthrow'
 import type { TargetSlot, Routing } from '../routing/routing.js'
 import type { TargetClient } from '../targets/targetClient.js'
-import type { TargetReply } from '../targets/targetReply.js'
+import type { TargetResponse } from '../targets/targetResponse.js'
 import { Hop, type Tracing } from '../tracing/createTracing.js'
-import { spanFields } from '../tracing/spanFields.js'
+import { spanAttributes } from '../tracing/spanAttributes.js'
 import type { RoutedRequest } from './routedRequest.js'
 
 /** An answered attempt: the place it holds and the answer's head. */
 export interface Attempt {
   readonly placement: TargetSlot
-  readonly reply: TargetReply
+  readonly reply: TargetResponse
 }
 
 /** Places a request on a target and sends it there once. */
@@ -36,15 +36,20 @@
   const { routing, targets, tracing } = options
 
   return async (request, exclude, parent, again) => {
-    const deciding = tracing.start(Hop.Decide, parent, spanFields(request))
+    const deciding = tracing.startSpan(
+      Hop.Decide,
+      parent,
+      spanAttributes(request),
+    )
     const placed = await routing.selectTarget(request, exclude)
-    if (placed.isOk()) deciding.set({ target: placed.value.target.id })
-    else deciding.set({ verdict: placed.error.verdict })
+    if (placed.isOk())
+      deciding.setAttributes({ target: placed.value.target.id })
+    else deciding.setAttributes({ verdict: placed.error.verdict })
     deciding.end(placed.isErr() ? placed.error.message : undefined)
     if (placed.isErr()) return err(placed.error)
     const placement = placed.value
-    const sending = tracing.start(Hop.Target, parent, {
-      ...spanFields(request),
+    const sending = tracing.startSpan(Hop.Target, parent, {
+      ...spanAttributes(request),
       target: placement.target.id,
     })
     const headers = tracing.inject(sending.context)
@@ -55,11 +60,11 @@
       placement.release()
       // A connection that was kept too long says nothing against its target.
       if (!sent.error.reusedConnection) exclude.add(placement.target.id)
-      sending.set({ verdict: sent.error.verdict })
+      sending.setAttributes({ verdict: sent.error.verdict })
       sending.end(sent.error.message)
       return err(sent.error)
     }
-    sending.set({ verdict: Verdict.Ran })
+    sending.setAttributes({ verdict: Verdict.Ran })
     sent.value.body.once('close', () => {
       sending.end()
     })
--- a/packages/daemon/src/node/callers/createCallerServer.ts
+++ b/packages/daemon/src/node/callers/createCallerServer.ts
@@ -40,7 +40,7 @@
 export interface CallerServerOptions {
   readonly settings: ResolvedSettings
   readonly configuration: () => Configuration
-  readonly ready: () => boolean
+  readonly isReady: () => boolean
   readonly dispatcher: Dispatcher
   readonly tracing: Tracing
   readonly metrics: Metrics
@@ -55,13 +55,13 @@
   /** Requests under way. */
   readonly inFlight: number
   /** From now on answers end their connections. */
-  closeConnections(): void
+  disableKeepAlive(): void
   /** From now on new requests are refused as not run. */
-  refuseNew(): void
+  rejectNewRequests(): void
   /** Resolves once no request is under way. */
   drained(): Promise<void>
   /** Breaks every request off and returns how many there were. */
-  cutOff(): number
+  abortAll(): number
   /** Ends every connection and the listener. */
   close(): Promise<void>
 }
@@ -129,12 +129,12 @@
       return
     }
     const { service, rank } = parsed.value
-    span.set({ customer: customer.value, service, rank })
+    span.setAttributes({ customer: customer.value, service, rank })
     const result = await dispatcher.dispatch(parsed.value, res, span.context)
     if (result.isErr()) {
-      span.set({ verdict: result.error.verdict })
+      span.setAttributes({ verdict: result.error.verdict })
       sendFailure(res, calls.cutting ? cutOff(result.error) : result.error)
-    } else span.set({ verdict: Verdict.Ran })
+    } else span.setAttributes({ verdict: Verdict.Ran })
   }
 
   async function serve(
@@ -146,11 +146,11 @@
       return
     }
     if (req.url === '/readyz') {
-      const ready = options.ready()
+      const ready = options.isReady()
       sendJson(res, ready ? 200 : 503, { ready })
       return
     }
-    const span = tracing.start(Hop.Accept, tracing.extract(req.headers))
+    const span = tracing.startSpan(Hop.Accept, tracing.extract(req.headers))
     const { signal } = calls.begin(res)
     try {
       await route(req, res, signal, span)
@@ -191,14 +191,14 @@
     get inFlight() {
       return calls.count
     },
-    refuseNew: () => {
+    rejectNewRequests: () => {
       refusing = true
     },
-    closeConnections: () => {
+    disableKeepAlive: () => {
       calls.closeConnections()
     },
     drained: () => calls.drained(),
-    cutOff: () => calls.cutOff(),
+    abortAll: () => calls.cutOff(),
     close: async () => {
       const closed = closeServer(server)
       server.closeAllConnections()
--- a/packages/daemon/src/node/callers/createDispatcher.ts
+++ b/packages/daemon/src/node/callers/createDispatcher.ts
@@ -9,7 +9,7 @@
 import type { Routing } from '../routing/routing.js'
 import type { TargetClient } from '../targets/targetClient.js'
 import { Hop, type Tracing } from '../tracing/createTracing.js'
-import { spanFields } from '../tracing/spanFields.js'
+import { spanAttributes } from '../tracing/spanAttributes.js'
 import { type Attempt, createAttempt } from './createAttempt.js'
 import { createRelay } from './createRelay.js'
 import { limitToDeadline } from './limitToDeadline.js'
@@ -67,7 +67,7 @@
   ): Promise<Result<WonClaim | undefined, RequestFailure>> {
     const { idempotent, idempotencyKey } = request
     if (idempotent || idempotencyKey === undefined) return ok(undefined)
-    const span = tracing.start(Hop.Claim, parent)
+    const span = tracing.startSpan(Hop.Claim, parent)
     const claimed = await claims.claim(request, idempotencyKey)
     span.end(claimed.isErr() ? claimed.error.message : undefined)
     return claimed
@@ -78,9 +78,14 @@
     res: ServerResponse,
     parent: Context,
   ): Promise<Result<void, RequestFailure>> {
-    const queueing = tracing.start(Hop.Queue, parent, spanFields(request))
+    const queueing = tracing.startSpan(
+      Hop.Queue,
+      parent,
+      spanAttributes(request),
+    )
     const admitted = await admission.admit(request)
-    if (admitted.isErr()) queueing.set({ verdict: admitted.error.verdict })
+    if (admitted.isErr())
+      queueing.setAttributes({ verdict: admitted.error.verdict })
     queueing.end(admitted.isErr() ? admitted.error.message : undefined)
     if (admitted.isErr()) return err(admitted.error)
     try {
@@ -88,11 +93,11 @@
       if (claimed.isErr()) return err(claimed.error)
       const result = await attempt(request, parent)
       if (result.isErr()) {
-        claimed.value?.failed(result.error.verdict)
+        claimed.value?.recordFailure(result.error.verdict)
         return err(result.error)
       }
       const { placement, reply } = result.value
-      claimed.value?.finished(reply.status)
+      claimed.value?.recordStatus(reply.status)
       try {
         await relay({ request, res, placement, reply, parent })
       } finally {
--- a/packages/daemon/src/node/callers/createRelay.ts
+++ b/packages/daemon/src/node/callers/createRelay.ts
@@ -4,11 +4,11 @@
 import { countCacheUse } from '../metrics/countCacheUse.js'
 import type { Metrics } from '../metrics/metrics.js'
 import type { TargetSlot } from '../routing/routing.js'
-import { runIdOf } from '../targets/replyIdentity.js'
+import { runIdOf } from '../targets/responseValidator.js'
 import type { TargetClient } from '../targets/targetClient.js'
-import type { TargetReply } from '../targets/targetReply.js'
+import type { TargetResponse } from '../targets/targetResponse.js'
 import { Hop, type Tracing } from '../tracing/createTracing.js'
-import { spanFields } from '../tracing/spanFields.js'
+import { spanAttributes } from '../tracing/spanAttributes.js'
 import { endsWithConnection, relayBody } from './relayBody.js'
 import { relayEventStream, type ResumeStream } from './relayEventStream.js'
 import type { RoutedRequest } from './routedRequest.js'
@@ -19,7 +19,7 @@
   readonly request: RoutedRequest
   readonly res: ServerResponse
   readonly placement: TargetSlot
-  readonly reply: TargetReply
+  readonly reply: TargetResponse
   readonly parent: Context
 }
 
@@ -40,7 +40,7 @@
 }
 
 /** Breaks an answer off so that the caller cannot take it for whole. */
-function breakOff(res: ServerResponse, reply: TargetReply): void {
+function breakOff(res: ServerResponse, reply: TargetResponse): void {
   const framed =
     res.chunkedEncoding || reply.headers['content-length'] !== undefined
   if (framed || !res.socket) res.destroy()
@@ -55,8 +55,8 @@
     const { request, placement, parent } = call
     const { target } = placement
     return async (from) => {
-      const span = tracing.start(Hop.Resume, parent, {
-        ...spanFields(request),
+      const span = tracing.startSpan(Hop.Resume, parent, {
+        ...spanAttributes(request),
         target: target.id,
         from,
       })
--- a/packages/daemon/src/node/callers/relayEventStream.ts
+++ b/packages/daemon/src/node/callers/relayEventStream.ts
@@ -1,13 +1,13 @@
 import type { ServerResponse } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { createStreamAssembler, type StreamAssembler } from '@auburnbay/core'
-import type { TargetReply } from '../targets/targetReply.js'
+import type { TargetResponse } from '../targets/targetResponse.js'
 import { writeToCaller } from './writeToCaller.js'
 
 /** Returns the rest of a stream, or undefined when this try failed. */
 export type ResumeStream = (
   fromNumber: number,
-) => Promise<TargetReply | undefined>
+) => Promise<TargetResponse | undefined>
 
 /** Tries in a row that bring no event before a stream is given up. */
 const MAX_FRUITLESS_RESUMES = 3
@@ -15,7 +15,7 @@
 
 async function relayConnection(
   res: ServerResponse,
-  reply: TargetReply,
+  reply: TargetResponse,
   assembler: StreamAssembler,
 ): Promise<void> {
   const decoder = new TextDecoder()
@@ -31,12 +31,12 @@
 /** Passes an event stream on, whole events only, and resumes it where cut. */
 export async function relayEventStream(
   res: ServerResponse,
-  first: TargetReply,
+  first: TargetResponse,
   resume: ResumeStream,
   signal: AbortSignal,
 ): Promise<void> {
   const assembler = createStreamAssembler()
-  let reply: TargetReply | undefined = first
+  let reply: TargetResponse | undefined = first
   let fruitless = 0
   for (;;) {
     const before = assembler.nextEventNumber
--- a/packages/daemon/src/node/callers/writeReplyHead.ts
+++ b/packages/daemon/src/node/callers/writeReplyHead.ts
@@ -8,7 +8,7 @@
 } from '@auburnbay/core'
 import type { TargetSlot } from '../routing/routing.js'
 import { headersToCaller } from '../targets/forwardedHeaders.js'
-import type { TargetReply } from '../targets/targetReply.js'
+import type { TargetResponse } from '../targets/targetResponse.js'
 
 const ENGINE_CACHE_HEADER = 'x-engine-cache'
 
@@ -16,7 +16,7 @@
 export function writeReplyHead(
   res: ServerResponse,
   placement: TargetSlot,
-  reply: TargetReply,
+  reply: TargetResponse,
   isEventStream: boolean,
 ): void {
   const cache = reply.headers[ENGINE_CACHE_HEADER]
--- a/packages/daemon/src/node/claims/__tests__/claims.test.ts
+++ b/packages/daemon/src/node/claims/__tests__/claims.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { after, before, beforeEach, describe, it } from 'node:test'
 import { VERDICT_HEADER } from '@auburnbay/core'
-import { callApi, type CallerAnswer } from '../../__tests__/callApi.js'
+import { callApi, type CallerResponse } from '../../__tests__/callApi.js'
 import {
   eventually,
   type Fleet,
@@ -46,7 +46,7 @@
     key: string,
     router = 0,
     body = '{"notice":7}',
-  ): Promise<CallerAnswer> {
+  ): Promise<CallerResponse> {
     return callApi({
       url: `${fleet.callerUrl(router)}/v1/services/charts/notices`,
       method: 'POST',
@@ -68,7 +68,7 @@
   }
 
   async function callUntil(key: string, verdict: string, router = 1) {
-    let answer: CallerAnswer | undefined
+    let answer: CallerResponse | undefined
     await eventually(async () => {
       answer = await call(key, router)
       return answer.headers[VERDICT_HEADER] === verdict
--- a/packages/daemon/src/node/claims/__tests__/restart.test.ts
+++ b/packages/daemon/src/node/claims/__tests__/restart.test.ts
@@ -23,7 +23,7 @@
       createClaims({
         settings: SETTINGS,
         log: createLogClient(log.url),
-        logger: logs.part('claims'),
+        logger: logs.forComponent('claims'),
         now: Date.now,
       })
     const key = `${Date.now()}.sign-off`
@@ -31,7 +31,7 @@
 
     const before = [start(), start()]
     const won = await before[0]?.claim(request, key)
-    won?._unsafeUnwrap().finished(201)
+    won?._unsafeUnwrap().recordStatus(201)
     await Promise.all(before.map((claims) => claims.stop()))
 
     const after = start()
@@ -50,7 +50,7 @@
       createClaims({
         settings: { ...SETTINGS, logRetentionMs },
         log: createLogClient(log.url),
-        logger: logs.part('claims'),
+        logger: logs.forComponent('claims'),
         now: Date.now,
       })
     const old = `${Date.now() - 7_200_000}.sign-off`
@@ -79,7 +79,7 @@
     const claims = createClaims({
       settings: SETTINGS,
       log: createLogClient(log.url),
-      logger: logs.part('claims'),
+      logger: logs.forComponent('claims'),
       now: Date.now,
     })
     const key = `${Date.now()}.sign-off`
--- a/packages/daemon/src/node/claims/claims.ts
+++ b/packages/daemon/src/node/claims/claims.ts
@@ -5,9 +5,9 @@
 /** A claim that this router won: it alone may dispatch the request. */
 export interface WonClaim {
   /** Records the status that a target answered with. */
-  finished(status: number): void
+  recordStatus(status: number): void
   /** Records a failure; one that was not run leaves the key free again. */
-  failed(verdict: Verdict): void
+  recordFailure(verdict: Verdict): void
 }
 
 /** Decides through the log which router dispatches a non-idempotent request. */
@@ -18,6 +18,6 @@
     idempotencyKey: string,
   ): Promise<Result<WonClaim, RequestFailure>>
   /** Appends to the log so far, and the records in them. */
-  readonly appended: { readonly appends: number; readonly records: number }
+  readonly appendCounts: { readonly appends: number; readonly records: number }
   stop(): Promise<void>
 }
--- a/packages/daemon/src/node/claims/createClaims.ts
+++ b/packages/daemon/src/node/claims/createClaims.ts
@@ -125,8 +125,8 @@
       batcher.add({ kind: ClaimRecordKind.Outcome, claimId, key, status })
     }
     return {
-      finished: outcome,
-      failed: (verdict) => {
+      recordStatus: outcome,
+      recordFailure: (verdict) => {
         if (verdict === Verdict.NotRun) release({ claimId, key })
         else outcome()
       },
@@ -160,7 +160,7 @@
 
   return {
     claim,
-    appended: batcher.counts,
+    appendCounts: batcher.counts,
     stop: async () => {
       await batcher.stop(CLAIMS_FLUSH_MS)
       await tailer.stop()
--- a/packages/daemon/src/node/configuration/configurationTransfer.ts
+++ b/packages/daemon/src/node/configuration/configurationTransfer.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod'
 
 /** Checks the request of a router that is behind. */
-export const configurationSinceSchema = z.strictObject({
+export const configurationTransferRequestSchema = z.strictObject({
   /** The log that the router follows. */
   logId: z.string().optional(),
   /** Offset of the first record wanted. */
@@ -9,7 +9,9 @@
 })
 
 /** What a router that is behind asks a peer for. */
-export type ConfigurationSince = z.infer<typeof configurationSinceSchema>
+export type ConfigurationTransferRequest = z.infer<
+  typeof configurationTransferRequestSchema
+>
 
 /** Checks the answer to a router that is behind. */
 export const configurationTransferSchema = z.strictObject({
--- a/packages/daemon/src/node/configuration/createConfigurationStore.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationStore.ts
@@ -10,7 +10,7 @@
 import type { ConsolaInstance } from 'consola'
 import type { Metrics } from '../metrics/metrics.js'
 import type {
-  ConfigurationSince,
+  ConfigurationTransferRequest,
   ConfigurationTransfer,
 } from './configurationTransfer.js'
 import { createRecordHistory } from './recordHistory.js'
@@ -23,7 +23,9 @@
   /** Takes over a snapshot, unless it would lead back. */
   adopt(value: unknown): void
   /** Returns what a router that is behind needs; undefined without a log. */
-  transfer(since: ConfigurationSince): ConfigurationTransfer | undefined
+  transfer(
+    since: ConfigurationTransferRequest,
+  ): ConfigurationTransfer | undefined
 }
 
 /** Creates a store that starts without a version. */
@@ -79,7 +81,7 @@
   }
 
   function transfer(
-    since: ConfigurationSince,
+    since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined {
     const { logId, nextOffset } = state
     if (logId === undefined) return undefined
--- a/packages/daemon/src/node/configuration/createConfigurationTailer.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationTailer.ts
@@ -4,7 +4,7 @@
 import type { Metrics } from '../metrics/metrics.js'
 import type { ConfigurationPeer } from './configurationPeer.js'
 import type {
-  ConfigurationSince,
+  ConfigurationTransferRequest,
   ConfigurationTransfer,
 } from './configurationTransfer.js'
 import { createConfigurationStore } from './createConfigurationStore.js'
@@ -20,7 +20,9 @@
   /** Reads what the log has now; returns whether it answered. */
   refresh(): Promise<boolean>
   /** Returns what a peer that is behind needs; undefined without a log. */
-  transfer(since: ConfigurationSince): ConfigurationTransfer | undefined
+  transfer(
+    since: ConfigurationTransferRequest,
+  ): ConfigurationTransfer | undefined
   stop(): Promise<void>
 }
 
@@ -37,7 +39,7 @@
   /** Fetches from the peer at an address; rejects when it does not answer. */
   readonly fetch: (
     address: string,
-    since: ConfigurationSince,
+    since: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
   /** Milliseconds since the epoch. */
   readonly nowMs: () => number
--- a/packages/daemon/src/node/configuration/createPeerFollower.ts
+++ b/packages/daemon/src/node/configuration/createPeerFollower.ts
@@ -8,7 +8,7 @@
 import { createLoop, type Loop } from '../tasks/createLoop.js'
 import type { ConfigurationPeer } from './configurationPeer.js'
 import type {
-  ConfigurationSince,
+  ConfigurationTransferRequest,
   ConfigurationTransfer,
 } from './configurationTransfer.js'
 import { PEER_FOLLOW_MS } from './constants.js'
@@ -23,7 +23,7 @@
   /** Fetches from the peer at an address; rejects when it does not answer. */
   readonly fetch: (
     address: string,
-    since: ConfigurationSince,
+    since: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
   /** Whether the log itself keeps this router current. */
   readonly followsLog: () => boolean
--- a/packages/daemon/src/node/constants.ts
+++ b/packages/daemon/src/node/constants.ts
@@ -11,9 +11,9 @@
 /** Milliseconds that a load report may take. */
 export const LOAD_REPORT_TIMEOUT_MS = 1_000
 /** Milliseconds between the checks of a pending operation. */
-export const ACCEPT_CHECK_MS = 20
+export const PATCH_CONFIRMATION_POLL_MS = 20
 /** Milliseconds until a submitted patch counts as unknown. */
-export const ACCEPT_TIMEOUT_MS = 5_000
+export const PATCH_CONFIRMATION_TIMEOUT_MS = 5_000
 /** Path prefix of calls to plain services. */
 export const SERVICE_PATH_PREFIX = '/v1/services/'
 /** Path of chat completions. */
--- a/packages/daemon/src/node/createDaemon.ts
+++ b/packages/daemon/src/node/createDaemon.ts
@@ -12,7 +12,7 @@
 import { describeConfiguration } from './configuration/describeConfiguration.js'
 import type { Daemon, DaemonParts } from './daemon.js'
 import { createTargetHealth } from './health/createTargetHealth.js'
-import { createWatchedTargets } from './health/createWatchedTargets.js'
+import { createHealthTrackingClient } from './health/createHealthTrackingClient.js'
 import { createRetries } from './limits/createRetries.js'
 import { createLogClient } from './logService/createLogClient.js'
 import { createLogs } from './logging/createLogs.js'
@@ -33,7 +33,7 @@
 import { stopCallers } from './stopping/stopCallers.js'
 import type { StopOutcome } from './stopping/stopOutcome.js'
 import { stopParts } from './stopping/stopParts.js'
-import { createLoadReporter } from './targets/createLoadReporter.js'
+import { createLoadPoller } from './targets/createLoadPoller.js'
 import { createTargetClient } from './targets/createTargetClient.js'
 import { createTracing } from './tracing/createTracing.js'
 
@@ -43,7 +43,7 @@
   parts: DaemonParts = {},
 ): Promise<Daemon> {
   const logs = createLogs(settings.logs)
-  const logger = logs.part('daemon')
+  const logger = logs.forComponent('daemon')
   const metrics = createMetrics(settings)
   const tracing = createTracing(settings, parts.spanProcessors)
   const now = (): number => performance.now()
@@ -51,12 +51,12 @@
   let stopping = false
   let stopped: Promise<StopOutcome> | undefined
 
-  const network = createNetwork(settings, logs.part('network'))
+  const network = createNetwork(settings, logs.forComponent('network'))
   const { agents, certificates, peerClient } = network
   const log = createLogClient(settings.logService.url, agents.log)
   const tailer = createConfigurationTailer({
     log,
-    logger: logs.part('configuration'),
+    logger: logs.forComponent('configuration'),
     metrics,
     router: settings.router,
     retentionMs: settings.logService.retentionMs,
@@ -67,7 +67,7 @@
   const configuration = () => tailer.state.configuration
   const vmList = createVmListPoller({
     settings: settings.vmList,
-    logger: logs.part('membership'),
+    logger: logs.forComponent('membership'),
     metrics,
     now,
     agent: agents.vmList,
@@ -78,11 +78,11 @@
     settings: settings.health,
     configuration,
     metrics,
-    logger: logs.part('health'),
+    logger: logs.forComponent('health'),
     now,
   })
   const eligible = (targetId: string, idempotent: boolean) =>
-    health.eligible(targetId, idempotent)
+    health.isEligible(targetId, idempotent)
   const routing = createRouting({
     settings,
     incarnation,
@@ -96,7 +96,7 @@
     metrics,
     now,
   })
-  const reporter = createLoadReporter(
+  const reporter = createLoadPoller(
     (resting) => routing.coordinatedTargets(resting),
     settings.targets.reportMs,
     now,
@@ -126,7 +126,7 @@
     dataCentre: settings.router.dataCentre,
     configurationVersion: tailer.state.version,
     configuration: describeConfiguration(tailer),
-    leaving: vmList.leaving(),
+    leaving: vmList.departureAges(),
     stopping,
     digest: {
       targets: routing.ownInFlight(),
@@ -138,8 +138,8 @@
     settings,
     client: peerClient,
     vms,
-    hearLeaving: vmList.hearLeaving,
-    logger: logs.part('membership'),
+    onReportedDepartures: vmList.applyReportedDepartures,
+    logger: logs.forComponent('membership'),
     self,
     now,
   })
@@ -152,11 +152,11 @@
     peers: () => membership.livePeers(),
     ownInFlight: () => routing.ownInFlight(),
     now,
-    logger: logs.part('orders'),
+    logger: logs.forComponent('orders'),
   })
   const handlers: PeerHandlers = {
     onHeartbeat: (heartbeat) => {
-      membership.heard(heartbeat)
+      membership.recordHeartbeat(heartbeat)
       return self()
     },
     onConfigurationSince: (since) => tailer.transfer(since),
@@ -165,14 +165,14 @@
   }
   const peerServer = await createPeerServer(settings, handlers, network)
 
-  const targets = createWatchedTargets(
-    createTargetClient(settings.targets, agents.toTargets),
+  const targets = createHealthTrackingClient(
+    createTargetClient(settings.targets, agents.secureTargetAgent),
     health,
   )
   const claims = createClaims({
     settings: settings.claims,
     log,
-    logger: logs.part('claims'),
+    logger: logs.forComponent('claims'),
     now: Date.now,
   })
   const dispatcher = createDispatcher({
@@ -193,11 +193,11 @@
   const callers = await createCallerServer({
     settings,
     configuration,
-    ready: () => !stopping && tailer.state.version > 0,
+    isReady: () => !stopping && tailer.state.version > 0,
     dispatcher,
     tracing,
     metrics,
-    logger: logs.part('callers'),
+    logger: logs.forComponent('callers'),
     certificates,
   })
   const admin = await createAdminServer({
@@ -207,7 +207,7 @@
     membership,
     routing,
     self,
-    logger: logs.part('admin'),
+    logger: logs.forComponent('admin'),
     certificates,
   })
   const metricsReporter = createMetricsReporter({
--- a/packages/daemon/src/node/health/createWatchedTargets.ts
+++ b/packages/daemon/src/node/health/createHealthTrackingClient.ts
@@ -2,14 +2,14 @@
 import type { RoutedRequest } from '../callers/routedRequest.js'
 import type { TargetClient } from '../targets/targetClient.js'
 import type { TargetFailure } from '../targets/targetFailure.js'
-import type { TargetReply } from '../targets/targetReply.js'
+import type { TargetResponse } from '../targets/targetResponse.js'
 import type { SentRequest, TargetHealth } from './targetHealth.js'
 
 const FIRST_SERVER_ERROR = 500
 
 function watchReply(
   sent: SentRequest,
-  reply: TargetReply,
+  reply: TargetResponse,
   request: RoutedRequest,
 ): void {
   if (reply.status >= FIRST_SERVER_ERROR) {
@@ -38,7 +38,7 @@
 }
 
 /** Creates a client that tells `health` how each request ended. */
-export function createWatchedTargets(
+export function createHealthTrackingClient(
   targets: TargetClient,
   health: TargetHealth,
 ): TargetClient {
--- a/packages/daemon/src/node/health/createTargetHealth.ts
+++ b/packages/daemon/src/node/health/createTargetHealth.ts
@@ -83,7 +83,7 @@
 
   return {
     sent,
-    eligible: (targetId, idempotent) =>
+    isEligible: (targetId, idempotent) =>
       find(targetId)?.isEligible(targetId, idempotent, now()) ?? true,
     circuit: (targetId) =>
       find(targetId)?.circuit(targetId, now()) ?? CircuitState.Closed,
--- a/packages/daemon/src/node/health/targetHealth.ts
+++ b/packages/daemon/src/node/health/targetHealth.ts
@@ -15,7 +15,7 @@
 /** Knows which targets work, from the requests that went there. */
 export interface TargetHealth {
   /** Whether a request may go to a target now. */
-  eligible(targetId: string, idempotent: boolean): boolean
+  isEligible(targetId: string, idempotent: boolean): boolean
   /** Starts watching a request to a target. */
   sent(targetId: string): SentRequest
   circuit(targetId: string): CircuitState
--- a/packages/daemon/src/node/logging/__tests__/createLogs.test.ts
+++ b/packages/daemon/src/node/logging/__tests__/createLogs.test.ts
@@ -18,9 +18,9 @@
   it('are one JSON object a line with the part that speaks', () => {
     const output = capture(() => {
       const logs = createLogs({ format: LogFormat.Json, level: 3 })
-      logs.part('admin').info('Version 3 is in force.')
-      logs.part('peers').warn('Router router-2 is silent.')
-      logs.part('peers').debug('This is below the level.')
+      logs.forComponent('admin').info('Version 3 is in force.')
+      logs.forComponent('peers').warn('Router router-2 is silent.')
+      logs.forComponent('peers').debug('This is below the level.')
     })
     const lines = output.trim().split('\n')
     const entries = lines.map((line) => JSON.parse(line) as object)
@@ -38,7 +38,7 @@
   it('start with the part for people', () => {
     const output = capture(() => {
       const logs = createLogs({ format: LogFormat.Human, level: 3 })
-      logs.part('admin').info('Version 3 is in force.')
+      logs.forComponent('admin').info('Version 3 is in force.')
     })
     assert.match(output, /admin.*Version 3 is in force\./)
   })
--- a/packages/daemon/src/node/logging/createLogs.ts
+++ b/packages/daemon/src/node/logging/createLogs.ts
@@ -5,7 +5,7 @@
 /** Gives each part of the daemon its logger. */
 export interface Logs {
   /** Returns the logger whose lines start with the part's name. */
-  part(name: string): ConsolaInstance
+  forComponent(name: string): ConsolaInstance
 }
 
 function writeJsonLine(entry: {
@@ -32,5 +32,5 @@
       ? { reporters: [{ log: writeJsonLine }] }
       : { fancy: false }),
   })
-  return { part: (name) => root.withTag(name) }
+  return { forComponent: (name) => root.withTag(name) }
 }
--- a/packages/daemon/src/node/membership/createMembership.ts
+++ b/packages/daemon/src/node/membership/createMembership.ts
@@ -25,7 +25,7 @@
   /** Peers heard of within the time limit. */
   livePeers(): PeerStatus[]
   /** Takes in a peer's heartbeat. */
-  heard(heartbeat: Heartbeat): void
+  recordHeartbeat(heartbeat: Heartbeat): void
   stop(): Promise<void>
 }
 
@@ -36,7 +36,9 @@
   readonly vms: () => readonly VmEntry[]
   readonly self: () => Heartbeat
   /** Takes in the departures that a peer knows of. */
-  readonly hearLeaving: (ages: Readonly<Record<string, number>>) => void
+  readonly onReportedDepartures: (
+    ages: Readonly<Record<string, number>>,
+  ) => void
   readonly logger: ConsolaInstance
   readonly now: () => number
 }
@@ -57,7 +59,7 @@
     heardAtMs.set(heartbeat.router, now())
     const { router, incarnation, leaving } = heartbeat
     liveness.recordHeartbeat(router, incarnation, heartbeat, now())
-    options.hearLeaving(leaving ?? {})
+    options.onReportedDepartures(leaving ?? {})
   }
 
   function routers(): VmEntry[] {
@@ -111,5 +113,5 @@
     settings.peers.heartbeatMs,
     () => undefined,
   )
-  return { livePeers, heard, stop: () => loop.stop() }
+  return { livePeers, recordHeartbeat: heard, stop: () => loop.stop() }
 }
--- a/packages/daemon/src/node/membership/createVmListPoller.ts
+++ b/packages/daemon/src/node/membership/createVmListPoller.ts
@@ -19,9 +19,11 @@
 export interface VmListPoller {
   readonly vms: readonly VmEntry[]
   /** Age in milliseconds of each departure that this router knows of. */
-  leaving(): Record<string, number>
+  departureAges(): Record<string, number>
   /** Takes in the departures that a peer knows of. */
-  readonly hearLeaving: (ages: Readonly<Record<string, number>>) => void
+  readonly applyReportedDepartures: (
+    ages: Readonly<Record<string, number>>,
+  ) => void
   stop(): Promise<void>
 }
 
@@ -88,8 +90,8 @@
     get vms() {
       return show()
     },
-    leaving: () => departureAges(view, now()),
-    hearLeaving: (ages) => {
+    departureAges: () => departureAges(view, now()),
+    applyReportedDepartures: (ages) => {
       if (Object.keys(ages).length === 0) return
       view = applyReportedDepartures(view, ages, now())
       shownAtMs = -Infinity
--- a/packages/daemon/src/node/metrics/countCacheUse.ts
+++ b/packages/daemon/src/node/metrics/countCacheUse.ts
@@ -1,5 +1,5 @@
 import type { RoutedRequest } from '../callers/routedRequest.js'
-import type { TargetReply } from '../targets/targetReply.js'
+import type { TargetResponse } from '../targets/targetResponse.js'
 import type { Metrics } from './metrics.js'
 
 const ENGINE_CACHE_HEADER = 'x-engine-cache'
@@ -8,7 +8,7 @@
 export function countCacheUse(
   metrics: Metrics,
   request: RoutedRequest,
-  reply: TargetReply,
+  reply: TargetResponse,
 ): void {
   const use = reply.headers[ENGINE_CACHE_HEADER]
   if (use !== 'hit' && use !== 'miss') return
--- a/packages/daemon/src/node/metrics/createTrafficMeter.ts
+++ b/packages/daemon/src/node/metrics/createTrafficMeter.ts
@@ -5,9 +5,9 @@
 /** Counts the bytes of control traffic, headers and TLS included. */
 export interface TrafficMeter {
   /** Counts a connection for a purpose. */
-  track(purpose: ControlPurpose, socket: Socket): void
+  trackSocket(purpose: ControlPurpose, socket: Socket): void
   /** Counts every connection that an agent opens from now on. */
-  follow<T extends Agent>(purpose: ControlPurpose, agent: T): T
+  trackAgent<T extends Agent>(purpose: ControlPurpose, agent: T): T
   /** Bytes sent and received so far, by purpose. */
   bytes(): Record<ControlPurpose, number>
 }
@@ -32,8 +32,8 @@
   }
 
   return {
-    track,
-    follow(purpose, agent) {
+    trackSocket: track,
+    trackAgent(purpose, agent) {
       const connector = agent as unknown as { createConnection: OpenConnection }
       const connect = connector.createConnection.bind(agent)
       connector.createConnection = (...args) => {
--- a/packages/daemon/src/node/orders/createOrders.ts
+++ b/packages/daemon/src/node/orders/createOrders.ts
@@ -37,7 +37,9 @@
     lease,
     configuration: () => tailer.state.configuration,
     announce: (targets) => {
-      vmList.hearLeaving(Object.fromEntries(targets.map((id) => [id, 0])))
+      vmList.applyReportedDepartures(
+        Object.fromEntries(targets.map((id) => [id, 0])),
+      )
     },
     readsLog: () => tailer.connected,
     loadsPerMinute: settings.orders.weightLoadsPerMinute,
--- a/packages/daemon/src/node/peers/createPeerClient.ts
+++ b/packages/daemon/src/node/peers/createPeerClient.ts
@@ -10,7 +10,7 @@
 import { PEER_CALL_TIMEOUT_MS } from '../constants.js'
 import { PEER_FETCH_TIMEOUT_MS } from '../configuration/constants.js'
 import {
-  type ConfigurationSince,
+  type ConfigurationTransferRequest,
   type ConfigurationTransfer,
   configurationTransferSchema,
 } from '../configuration/configurationTransfer.js'
@@ -28,7 +28,7 @@
   /** Fetches records or a snapshot; rejects when the peer has none. */
   configurationSince(
     address: string,
-    since: ConfigurationSince,
+    since: ConfigurationTransferRequest,
   ): Promise<ConfigurationTransfer>
   /** Asks a group's home for places; rejects when it does not answer. */
   grant(address: string, ask: GrantRequest): Promise<GrantResponse>
--- a/packages/daemon/src/node/peers/createPeerServer.ts
+++ b/packages/daemon/src/node/peers/createPeerServer.ts
@@ -46,7 +46,7 @@
     ? network.certificates.createServer({}, serve, tls)
     : createWebServer({}, serve)
   server.on('connection', (socket: Socket) => {
-    network?.traffic.track(ControlPurpose.Peers, socket)
+    network?.traffic.trackSocket(ControlPurpose.Peers, socket)
   })
   const address = await listen(server, settings.listen.peers)
   return {
--- a/packages/daemon/src/node/peers/peerApi.ts
+++ b/packages/daemon/src/node/peers/peerApi.ts
@@ -1,7 +1,7 @@
 import { initTRPC, TRPCError } from '@trpc/server'
 import {
-  type ConfigurationSince,
-  configurationSinceSchema,
+  type ConfigurationTransferRequest,
+  configurationTransferRequestSchema,
   type ConfigurationTransfer,
 } from '../configuration/configurationTransfer.js'
 import type {
@@ -24,7 +24,7 @@
   onHeartbeat(heartbeat: Heartbeat): Heartbeat
   /** Returns what a router that is behind needs; undefined without a log. */
   onConfigurationSince(
-    since: ConfigurationSince,
+    since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
   /** Takes a request for places as the home of its group. */
   onGrant(ask: GrantRequest): GrantResponse
@@ -45,7 +45,7 @@
       .input(heartbeatSchema)
       .mutation(({ input }) => handlers.onHeartbeat(input)),
     configurationSince: procedure
-      .input(configurationSinceSchema)
+      .input(configurationTransferRequestSchema)
       .mutation(({ input }) => handlers.onConfigurationSince(input)),
     grant: procedure
       .input(grantAskSchema)
--- a/packages/daemon/src/node/routing/__tests__/grants.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/grants.test.ts
@@ -59,7 +59,7 @@
   })
   for (const answer of await Promise.all(calls)) {
     assert.equal(answer.status, 200, answer.text)
-    assert.ok(answer.whole)
+    assert.ok(answer.complete)
   }
 }
 
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -14,7 +14,7 @@
 import type { PeerClient } from '../peers/createPeerClient.js'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import type { CacheEventReader } from '../targets/createCacheEventReader.js'
-import type { LoadReporter } from '../targets/createLoadReporter.js'
+import type { LoadPoller } from '../targets/createLoadPoller.js'
 import { createLoop } from '../tasks/createLoop.js'
 import { chatKey } from './chatKey.js'
 import { chooseGroups } from './chooseGroups.js'
@@ -43,7 +43,7 @@
   readonly vms: () => readonly VmEntry[]
   readonly membership: () => Pick<Membership, 'livePeers'>
   readonly client: Pick<PeerClient, 'grant' | 'collect'>
-  readonly reporter: () => Pick<LoadReporter, 'report'>
+  readonly reporter: () => Pick<LoadPoller, 'report'>
   readonly cacheEvents: () => Pick<CacheEventReader, 'targetOf'>
   /** Whether the health of a target allows a request to be sent there. */
   readonly eligible: (targetId: string, idempotent: boolean) => boolean
--- a/packages/daemon/src/node/security/createAgents.ts
+++ b/packages/daemon/src/node/security/createAgents.ts
@@ -12,7 +12,7 @@
   readonly loads: Agent
   readonly cacheEvents: Agent
   /** Makes an agent for requests to targets use TLS where it is set. */
-  readonly toTargets: <T extends Agent>(agent: T) => T
+  readonly secureTargetAgent: <T extends Agent>(agent: T) => T
 }
 
 /** Creates the agents and has their traffic counted. */
@@ -31,14 +31,14 @@
   })
   const { Peers, Log, VmList, Loads, CacheEvents } = ControlPurpose
   return {
-    peers: traffic.follow(Peers, peers),
-    log: traffic.follow(Log, forUrl(settings.logService.url)),
-    vmList: traffic.follow(VmList, forUrl(settings.vmList.url)),
-    loads: traffic.follow(Loads, toTargets(new Agent({ keepAlive: true }))),
-    cacheEvents: traffic.follow(
+    peers: traffic.trackAgent(Peers, peers),
+    log: traffic.trackAgent(Log, forUrl(settings.logService.url)),
+    vmList: traffic.trackAgent(VmList, forUrl(settings.vmList.url)),
+    loads: traffic.trackAgent(Loads, toTargets(new Agent({ keepAlive: true }))),
+    cacheEvents: traffic.trackAgent(
       CacheEvents,
       toTargets(new Agent({ keepAlive: true })),
     ),
-    toTargets,
+    secureTargetAgent: toTargets,
   }
 }
--- a/packages/daemon/src/node/stopping/stopCallers.ts
+++ b/packages/daemon/src/node/stopping/stopCallers.ts
@@ -23,13 +23,13 @@
   settings: ResolvedSettings['stopping'],
   logger: ConsolaInstance,
 ): Promise<StopOutcome> {
-  callers.closeConnections()
+  callers.disableKeepAlive()
   // The balancer goes on sending until it has seen readiness fail.
   await sleep(settings.balancerDelayMs)
-  callers.refuseNew()
+  callers.rejectNewRequests()
   const inTime = await comesWithin(callers.drained(), settings.drainTimeoutMs)
   if (!inTime) {
-    const count = callers.cutOff()
+    const count = callers.abortAll()
     logger.warn(`Cut off ${count} requests that outlasted the limit.`)
     await comesWithin(callers.drained(), CUT_OFF_GRACE_MS)
   }
--- a/packages/daemon/src/node/targets/createLoadReporter.ts
+++ b/packages/daemon/src/node/targets/createLoadPoller.ts
@@ -13,7 +13,7 @@
 }
 
 /** Polls the load of targets. */
-export interface LoadReporter {
+export interface LoadPoller {
   report(targetId: string): LoadReport | undefined
   stop(): Promise<void>
 }
@@ -21,12 +21,12 @@
 const loadSchema = z.object({ inFlight: z.number().min(0) })
 
 /** Starts polling the load of the targets that `targets` names. */
-export function createLoadReporter(
+export function createLoadPoller(
   targets: PolledTargets,
   everyMs: number,
   now: () => number,
   agent: Agent = new Agent({ keepAlive: true }),
-): LoadReporter {
+): LoadPoller {
   const reports = new Map<string, LoadReport>()
 
   async function poll(target: TargetAddress): Promise<void> {
--- a/packages/daemon/src/node/targets/createTargetClient.ts
+++ b/packages/daemon/src/node/targets/createTargetClient.ts
@@ -25,10 +25,10 @@
 import { CANCEL_TIMEOUT_MS } from './constants.js'
 import { headersToTarget } from './forwardedHeaders.js'
 import { readInTime } from './readInTime.js'
-import { createReplyIdentity, runIdOf } from './replyIdentity.js'
+import { createResponseValidator, runIdOf } from './responseValidator.js'
 import type { TargetAddress, TargetClient } from './targetClient.js'
 import type { TargetFailure } from './targetFailure.js'
-import type { TargetReply } from './targetReply.js'
+import type { TargetResponse } from './targetResponse.js'
 
 const EMPTY_BODY = Buffer.alloc(0)
 
@@ -76,12 +76,12 @@
   const pool = prepare(new ConnectionPool(settings.pooledIdleMs))
   // Without keepAlive every request opens a connection of its own.
   const unpooled = prepare(new Agent({ keepAlive: false }))
-  const identity = createReplyIdentity()
+  const identity = createResponseValidator()
 
   function createReply(
     target: TargetAddress,
     body: IncomingMessage,
-  ): TargetReply {
+  ): TargetResponse {
     return {
       status: body.statusCode ?? 0,
       headers: body.headers,
--- a/packages/daemon/src/node/targets/replyIdentity.ts
+++ b/packages/daemon/src/node/targets/responseValidator.ts
@@ -22,7 +22,7 @@
 }
 
 /** Tells a request's own answer from a refusal and from another's answer. */
-export interface ReplyIdentity {
+export interface ResponseValidator {
   /** Returns why the answer is not passed on, or undefined. */
   check(
     targetId: string,
@@ -32,7 +32,7 @@
 }
 
 /** Creates the check; it remembers which engines echo identities. */
-export function createReplyIdentity(): ReplyIdentity {
+export function createResponseValidator(): ResponseValidator {
   const echoing = new LRUCache<string, true>({ max: MAX_KNOWN_TARGETS })
 
   function isForeign(
--- a/packages/daemon/src/node/targets/targetClient.ts
+++ b/packages/daemon/src/node/targets/targetClient.ts
@@ -1,7 +1,7 @@
 import type { Result } from 'neverthrow'
 import type { RoutedRequest } from '../callers/routedRequest.js'
 import type { TargetFailure } from './targetFailure.js'
-import type { TargetReply } from './targetReply.js'
+import type { TargetResponse } from './targetResponse.js'
 
 /** A target to send to. */
 export interface TargetAddress {
@@ -31,14 +31,14 @@
     request: RoutedRequest,
     traceHeaders: Record<string, string>,
     options?: SendOptions,
-  ): Promise<Result<TargetReply, TargetFailure>>
+  ): Promise<Result<TargetResponse, TargetFailure>>
   /** Asks for the rest of a run's stream on a new connection. */
   resume(
     target: TargetAddress,
     request: RoutedRequest,
     point: ResumePoint,
     traceHeaders: Record<string, string>,
-  ): Promise<Result<TargetReply, TargetFailure>>
+  ): Promise<Result<TargetResponse, TargetFailure>>
   /** Tells an engine that nobody waits for a run any more; does not wait. */
   cancel(target: TargetAddress, runId: string): void
   close(): void
--- a/packages/daemon/src/node/tracing/createTracing.ts
+++ b/packages/daemon/src/node/tracing/createTracing.ts
@@ -29,12 +29,12 @@
 }
 
 /** What a span says of a request. */
-export type SpanFields = Record<string, string | number | boolean>
+export type SpanAttributes = Record<string, string | number | boolean>
 
 /** A span that is under way. */
 export interface HopSpan {
   readonly context: Context
-  set(fields: SpanFields): void
+  setAttributes(fields: SpanAttributes): void
   /** Ends the span; a message marks it as failed. */
   end(failure?: string): void
 }
@@ -45,14 +45,14 @@
   extract(headers: Record<string, unknown>): Context
   /** Returns the headers that carry a trace context on. */
   inject(parent: Context): Record<string, string>
-  start(hop: Hop, parent: Context, fields?: SpanFields): HopSpan
+  startSpan(hop: Hop, parent: Context, fields?: SpanAttributes): HopSpan
   close(): Promise<void>
 }
 
 function wrap(span: Span, parent: Context): HopSpan {
   return {
     context: trace.setSpan(parent, span),
-    set: (fields) => {
+    setAttributes: (fields) => {
       span.setAttributes(fields)
     },
     end: (failure) => {
@@ -88,7 +88,7 @@
       propagator.inject(parent, carrier, defaultTextMapSetter)
       return carrier
     },
-    start: (hop, parent, fields = {}) =>
+    startSpan: (hop, parent, fields = {}) =>
       wrap(tracer.startSpan(hop, { attributes: fields }, parent), parent),
     close: () => provider.shutdown(),
   }
--- a/packages/daemon/src/node/tracing/spanFields.ts
+++ b/packages/daemon/src/node/tracing/spanAttributes.ts
@@ -1,8 +1,8 @@
 import type { RoutedRequest } from '../callers/routedRequest.js'
-import type { SpanFields } from './createTracing.js'
+import type { SpanAttributes } from './createTracing.js'
 
 /** Returns what every span of a request says of it. */
-export function spanFields(request: RoutedRequest): SpanFields {
+export function spanAttributes(request: RoutedRequest): SpanAttributes {
   const { customer, service, rank } = request
   return { customer, service, rank }
 }
--- a/packages/measure/src/node/once/createRouter.ts
+++ b/packages/measure/src/node/once/createRouter.ts
@@ -95,7 +95,7 @@
   const claims = createClaims({
     settings: settings.claims,
     log: createLogClient(settings.logService.url),
-    logger: logs.part('claims'),
+    logger: logs.forComponent('claims'),
     now: Date.now,
   })
 
@@ -127,7 +127,7 @@
   const callers = await createCallerServer({
     settings,
     configuration: () => options.configuration,
-    ready: () => true,
+    isReady: () => true,
     dispatcher: createDispatcher({
       admission: {
         admit: () => Promise.resolve(ok({ release: () => undefined })),
@@ -141,16 +141,16 @@
     }),
     tracing,
     metrics,
-    logger: logs.part('callers'),
+    logger: logs.forComponent('callers'),
   })
   const trial: TrialRouter = {
     url: `http://${formatAddress(callers.address)}`,
     pauseMs: 0,
     refusedFirst: false,
     stop: async () => {
-      callers.closeConnections()
-      callers.refuseNew()
-      callers.cutOff()
+      callers.disableKeepAlive()
+      callers.rejectNewRequests()
+      callers.abortAll()
       await callers.drained()
       await Promise.all([callers.close(), claims.stop()])
       targets.close()
--- a/packages/measure/src/node/once/measureClaimAppends.ts
+++ b/packages/measure/src/node/once/measureClaimAppends.ts
@@ -38,7 +38,7 @@
   const claims = createClaims({
     settings: settings.claims,
     log: createLogClient(log.url),
-    logger: logs.part('claims'),
+    logger: logs.forComponent('claims'),
     now: Date.now,
   })
   const startedMs = performance.now()
@@ -54,7 +54,7 @@
   }
   const won = (await Promise.all(settled)).filter(Boolean).length
   const seconds = (performance.now() - startedMs) / 1_000
-  const { appends, records } = claims.appended
+  const { appends, records } = claims.appendCounts
   await Promise.all([claims.stop(), log.close()])
   return [
     {
