--- a/packages/cli/src/node/__tests__/startRouter.ts
+++ b/packages/cli/src/node/__tests__/startRouter.ts
@@ -3,7 +3,7 @@
 import {
   createLogService,
   createVmList,
-  routerSettings,
+  createRouterSettings,
 } from '@auburnbay/stand-ins'
 
 /** A router with the platform it needs. */
@@ -17,7 +17,7 @@
 export async function startRouter(): Promise<TestRouter> {
   const log = await createLogService()
   const vmList = await createVmList()
-  const base = routerSettings({ id: 'router-1', log, vmList })
+  const base = createRouterSettings({ id: 'router-1', log, vmList })
   const settings = resolveSettings(base)
   const daemon = await createDaemon(settings._unsafeUnwrap())
   return {
--- a/packages/daemon/src/node/__tests__/startFleet.ts
+++ b/packages/daemon/src/node/__tests__/startFleet.ts
@@ -11,8 +11,8 @@
   createLogService,
   createPlainService,
   createVmList,
-  routerSecrets,
-  routerSettings,
+  createRouterSecrets,
+  createRouterSettings,
   type EngineOptions,
   type EngineStandIn,
   type ListedVm,
@@ -60,7 +60,7 @@
 }
 
 /** Operator token of test fleets. */
-export const TEST_ADMIN_TOKEN = routerSecrets('test').admin
+export const TEST_ADMIN_TOKEN = createRouterSecrets('test').admin
 
 const CALL_TIMEOUT_MS = 10_000
 
@@ -70,7 +70,7 @@
   vmList: StandIn,
   extra: Partial<Settings>,
 ): Settings {
-  const base = routerSettings({ id: `router-${index + 1}`, log, vmList })
+  const base = createRouterSettings({ id: `router-${index + 1}`, log, vmList })
   return {
     ...base,
     vmList: { ...base.vmList, pollMs: 50 },
--- a/packages/daemon/src/node/callers/__tests__/verdicts.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/verdicts.test.ts
@@ -26,7 +26,7 @@
   after(() => fleet.stop())
 
   beforeEach(() => {
-    fleet.plain.script.length = 0
+    fleet.plain.queuedFaults.length = 0
   })
 
   function call(
@@ -81,7 +81,8 @@
   for (const { name, faults, verdict, runs } of cases) {
     it(`is ${verdict} for a non-idempotent call ${name}`, async () => {
       const before = fleet.plain.calls.length
-      for (let tries = 0; tries < 4; tries += 1) fleet.plain.script.push(faults)
+      for (let tries = 0; tries < 4; tries += 1)
+        fleet.plain.queuedFaults.push(faults)
       const answer = await call('POST')
       assert.equal(answer.headers[VERDICT_HEADER], verdict)
       assert.equal(fleet.plain.calls.length - before, runs)
@@ -92,7 +93,7 @@
   it('is ran for a call that a kept connection could have lost', async () => {
     const before = fleet.plain.calls.length
     assert.equal((await call('GET')).status, 200)
-    fleet.plain.silenceConnections()
+    fleet.plain.stallConnections()
     const answer = await call('POST')
     assert.equal(answer.status, 200)
     assert.equal(fleet.plain.calls.length - before, 2)
@@ -100,7 +101,7 @@
 
   it('shows an idempotent call only the delay of a silent connection', async () => {
     assert.equal((await call('GET')).status, 200)
-    fleet.plain.silenceConnections()
+    fleet.plain.stallConnections()
     assert.equal((await call('GET')).status, 200)
   })
 
--- a/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
@@ -33,7 +33,7 @@
   after(() => fleet.stop())
 
   afterEach(() => {
-    engine().script.length = 0
+    engine().queuedFaults.length = 0
   })
 
   function engine() {
@@ -62,14 +62,14 @@
     await call()
     const { length } = streamText(lastRun())
     for (let bytes = 0; bytes < length; bytes += 23) {
-      engine().script.push({ cutAfterBytes: bytes })
+      engine().queuedFaults.push({ cutAfterBytes: bytes })
       assertWhole(await call())
     }
   })
 
   it('is resumed where it is cut twice and then goes silent', async () => {
     const ran = engine().runs.length
-    engine().script.push(
+    engine().queuedFaults.push(
       { cutAfterEvents: 3 },
       { cutAfterBytes: 150 },
       { silentAfterEvents: 2 },
@@ -79,30 +79,30 @@
   })
 
   it('is resumed where it ends without its end marker', async () => {
-    engine().script.push({ withholdEnd: true })
+    engine().queuedFaults.push({ withholdEnd: true })
     assertWhole(await call())
   })
 
   it('ends visibly broken where the engine has forgotten the run', async () => {
-    engine().script.push({ cutAfterEvents: 2 }, { forgetRuns: true })
-    engine().script.push({ forgetRuns: true }, { forgetRuns: true })
-    engine().script.push({ forgetRuns: true })
+    engine().queuedFaults.push({ cutAfterEvents: 2 }, { forgetRuns: true })
+    engine().queuedFaults.push({ forgetRuns: true }, { forgetRuns: true })
+    engine().queuedFaults.push({ forgetRuns: true })
     const answer = await call()
     assert.equal(answer.complete, false)
     assert.ok(streamText(lastRun()).startsWith(answer.text))
   })
 
   it('ends visibly broken rather than go on with the stream of another run', async () => {
-    engine().script.push({ cutAfterEvents: 2 })
+    engine().queuedFaults.push({ cutAfterEvents: 2 })
     for (let tries = 0; tries < 4; tries += 1)
-      engine().script.push({ crossAnswers: true })
+      engine().queuedFaults.push({ crossAnswers: true })
     const answer = await call()
     assert.equal(answer.complete, false)
     assert.ok(streamText(lastRun()).startsWith(answer.text))
   })
 
   it('is not passed on where it belongs to another request', async () => {
-    engine().script.push({ crossAnswers: true })
+    engine().queuedFaults.push({ crossAnswers: true })
     const answer = await call({ 'x-auburnbay-idempotent': 'false' })
     assert.equal(answer.status, 502)
     assert.equal(answer.headers[VERDICT_HEADER], 'may-have-run')
@@ -111,14 +111,14 @@
 
   it('comes over a new connection where the kept ones went silent', async () => {
     assertWhole(await call())
-    engine().silenceConnections()
+    engine().stallConnections()
     const answer = await call()
     assertWhole(answer)
     assert.equal(answer.headers[TARGET_HEADER], 'engine-1')
   })
 
   it('is cut visibly where a body with a length is cut', async () => {
-    engine().script.push({ cutAfterBytes: 40 })
+    engine().queuedFaults.push({ cutAfterBytes: 40 })
     const answer = await callApi({
       url: `${fleet.callerUrl()}/v1/chat/completions`,
       method: 'POST',
@@ -154,8 +154,8 @@
     // all of them are shorter than the run and the limit on silence.
     let answer: CallerResponse | undefined
     for (let ms = 60; answer?.status !== 200 && ms < 8_000; ms *= 2) {
-      engine.script.length = 0
-      engine.script.push({ silentAfterEvents: 2 })
+      engine.queuedFaults.length = 0
+      engine.queuedFaults.push({ silentAfterEvents: 2 })
       const headers = { 'x-auburnbay-deadline-ms': String(ms) }
       answer = await callChat(fleet.callerUrl(), fleet.callerKey, 'c', headers)
       if (answer.status !== 200) assert.equal(answer.status, 504, answer.text)
--- a/packages/daemon/src/node/claims/__tests__/claims.test.ts
+++ b/packages/daemon/src/node/claims/__tests__/claims.test.ts
@@ -28,7 +28,7 @@
   after(() => fleet.stop())
 
   beforeEach(() => {
-    fleet.plain.script.length = 0
+    fleet.plain.queuedFaults.length = 0
     Object.assign(fleet.log.faults, {
       outage: false,
       silent: false,
@@ -137,17 +137,17 @@
   it('is free again after the target refused it', async () => {
     const key = newKey()
     for (let tries = 0; tries < 3; tries += 1)
-      fleet.plain.script.push({ refuse: true })
+      fleet.plain.queuedFaults.push({ refuse: true })
     const refused = await call(key)
     assert.equal(refused.headers[VERDICT_HEADER], 'not-run')
-    fleet.plain.script.length = 0
+    fleet.plain.queuedFaults.length = 0
     await eventually(async () => (await call(key, 1)).status === 200)
     assert.equal(runsOf(key), 1)
   })
 
   it('stays unknown after the target gave no answer', async () => {
     const key = newKey()
-    fleet.plain.script.push({ silent: true })
+    fleet.plain.queuedFaults.push({ silent: true })
     const lost = await call(key)
     assert.equal(lost.headers[VERDICT_HEADER], 'may-have-run')
     const later = await call(key, 1)
--- a/packages/daemon/src/node/routing/__tests__/cacheEvents.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/cacheEvents.test.ts
@@ -15,7 +15,10 @@
   let fleet: Fleet
 
   before(async () => {
-    fleet = await startFleet({ engines: 3, engine: { publishes: true } })
+    fleet = await startFleet({
+      engines: 3,
+      engine: { publishesCacheEvents: true },
+    })
   })
 
   after(() => fleet.stop())
--- a/packages/daemon/src/node/security/__tests__/startTlsRouter.ts
+++ b/packages/daemon/src/node/security/__tests__/startTlsRouter.ts
@@ -1,7 +1,7 @@
 import {
   createLogService,
   createVmList,
-  routerSettings,
+  createRouterSettings,
 } from '@auburnbay/stand-ins'
 import { createDaemon } from '../../createDaemon.js'
 import type { Daemon } from '../../daemon.js'
@@ -29,7 +29,7 @@
   const vmList = await createVmList()
   const listener = { host: '127.0.0.1', port: 0, tls }
   const settings = resolveSettings({
-    ...routerSettings({ id: 'router-1', log, vmList }),
+    ...createRouterSettings({ id: 'router-1', log, vmList }),
     listen: { callers: listener, peers: listener, admin: listener },
     certificates: { pollMs },
   })
--- a/packages/measure/src/node/control/startControlFleet.ts
+++ b/packages/measure/src/node/control/startControlFleet.ts
@@ -12,8 +12,8 @@
   type ReadyProcess,
   startProcess,
   type VmListStandIn,
-  routerSecrets,
-  routerSettings,
+  createRouterSecrets,
+  createRouterSettings,
 } from '@auburnbay/stand-ins'
 import { ENGINES } from './constants.js'
 import { createStatsReader, type StatsReader } from './createStatsReader.js'
@@ -29,7 +29,7 @@
 }
 
 const PURPOSE = 'measure'
-const TOKEN = routerSecrets(PURPOSE).admin
+const TOKEN = createRouterSecrets(PURPOSE).admin
 const METRICS_HOST = { host: '127.0.0.1' }
 const METRICS_MS = 100
 const CALL_TIMEOUT_MS = 10_000
@@ -95,7 +95,7 @@
       ? { ...METRICS_HOST, port: stats.port, everyMs: METRICS_MS }
       : { ...METRICS_HOST, port: unread.port }
     const settings: Settings = {
-      ...routerSettings({ id, log, vmList, purpose: PURPOSE }),
+      ...createRouterSettings({ id, log, vmList, purpose: PURPOSE }),
       metrics,
     }
     const path = join(folder, `${id}.json`)
--- a/packages/measure/src/node/once/createTrial.ts
+++ b/packages/measure/src/node/once/createTrial.ts
@@ -95,15 +95,19 @@
 
   function applyFaults(schedule: Schedule): void {
     for (const [index, engine] of engines.entries())
-      engine.script.splice(0, Infinity, ...(schedule.engines[index] ?? []))
+      engine.queuedFaults.splice(
+        0,
+        Infinity,
+        ...(schedule.engines[index] ?? []),
+      )
     for (const [index, service] of plain.entries())
-      service.script.splice(0, Infinity, ...(schedule.plain[index] ?? []))
+      service.queuedFaults.splice(0, Infinity, ...(schedule.plain[index] ?? []))
     for (const [index, router] of routers.entries()) {
       router.refusedFirst = schedule.refusedFirst
       router.pauseMs = schedule.pausedRouter === index ? PAUSE_MS : 0
     }
     if (schedule.keptGoSilent)
-      for (const standIn of [...engines, ...plain]) standIn.silenceConnections()
+      for (const standIn of [...engines, ...plain]) standIn.stallConnections()
     applyLogFault(log, schedule.log)
   }
 
--- a/packages/measure/src/node/stopping/processFleet.ts
+++ b/packages/measure/src/node/stopping/processFleet.ts
@@ -8,8 +8,8 @@
   createLogService,
   createPlainService,
   createVmList,
-  routerSecrets,
-  routerSettings,
+  createRouterSecrets,
+  createRouterSettings,
   type EngineOptions,
   type EngineStandIn,
   type PlainServiceStandIn,
@@ -41,7 +41,7 @@
 const CALL_TIMEOUT_MS = 10_000
 const READY_PAUSE_MS = 20
 const PURPOSE = 'measure'
-const ADMIN_TOKEN = routerSecrets(PURPOSE).admin
+const ADMIN_TOKEN = createRouterSecrets(PURPOSE).admin
 
 /** Returns whether a router's readiness holds. */
 export async function isReady(router: RouterProcess): Promise<boolean> {
@@ -101,7 +101,7 @@
 
   async function start(): Promise<RouterProcess> {
     started += 1
-    const base = routerSettings({
+    const base = createRouterSettings({
       id: `router-${started}`,
       log,
       vmList,
--- a/packages/stand-ins/src/node/engine/createEngine.ts
+++ b/packages/stand-ins/src/node/engine/createEngine.ts
@@ -44,7 +44,7 @@
     cacheChats: options.cacheChats ?? DEFAULT_CACHE_CHATS,
     wordDelayMs: options.wordDelayMs ?? 0,
     words: options.words ?? DEFAULT_ENGINE_WORDS,
-    publishes: options.publishes ?? false,
+    publishesCacheEvents: options.publishesCacheEvents ?? false,
   }
   const orders = createEngineOrders(options.orders)
   const faults = createEngineFaults()
@@ -195,7 +195,7 @@
       sendJson(res, 200, faults)
     } else if (url.pathname === '/load') sendJson(res, 200, { inFlight })
     else if (url.pathname === ORDER_PATH) await orders.handle(call, inFlight)
-    else if (url.pathname === '/cache-events' && resolved.publishes)
+    else if (url.pathname === '/cache-events' && resolved.publishesCacheEvents)
       sendJson(res, 200, {
         events: cacheEvents.from(Number(url.searchParams.get('from'))),
       })
@@ -225,7 +225,7 @@
     ...standIn,
     orders,
     faults,
-    script,
+    queuedFaults: script,
     cacheEvents,
     runs,
     options: resolved,
--- a/packages/stand-ins/src/node/engine/engineStandIn.ts
+++ b/packages/stand-ins/src/node/engine/engineStandIn.ts
@@ -11,7 +11,7 @@
   /** Milliseconds between two words. @default 0 */
   readonly wordDelayMs?: number
   /** Whether cache events are published. @default false */
-  readonly publishes?: boolean
+  readonly publishesCacheEvents?: boolean
   /** Words of an answer. @default 12 */
   readonly words?: number
   /** How it takes orders. */
@@ -23,7 +23,7 @@
   readonly faults: EngineFaults
   readonly cacheEvents: CacheEvents
   /** Switches on top of `faults` for the next requests, one entry each. */
-  readonly script: Partial<EngineFaults>[]
+  readonly queuedFaults: Partial<EngineFaults>[]
   /** What truly ran, in order. */
   readonly runs: readonly EngineRun[]
   readonly options: Required<Omit<EngineOptions, 'orders'>>
--- a/packages/stand-ins/src/node/plainService/createPlainService.ts
+++ b/packages/stand-ins/src/node/plainService/createPlainService.ts
@@ -19,7 +19,7 @@
 export interface PlainServiceStandIn extends StandIn {
   readonly faults: PlainFaults
   /** Switches on top of `faults` for the next calls, one entry each. */
-  readonly script: Partial<PlainFaults>[]
+  readonly queuedFaults: Partial<PlainFaults>[]
   /** What truly ran, in order. */
   readonly calls: readonly PlainCall[]
 }
@@ -94,5 +94,5 @@
     if (switches.resetBefore) req.socket.destroy()
     return !switches.resetBefore
   })
-  return { ...standIn, faults, script, calls }
+  return { ...standIn, faults, queuedFaults: script, calls }
 }
--- a/packages/stand-ins/src/node/process/routerSettings.ts
+++ b/packages/stand-ins/src/node/process/createRouterSettings.ts
@@ -10,7 +10,7 @@
 }
 
 /** Returns the secrets of routers that serve `purpose`. */
-export function routerSecrets(purpose: string) {
+export function createRouterSecrets(purpose: string) {
   return {
     peer: `${purpose}-peer-secret-0123456789`,
     hint: `${purpose}-hint-secret-0123456789`,
@@ -19,7 +19,7 @@
 }
 
 /** Returns settings of a quiet router on free ports that stops at once. */
-export function routerSettings(options: RouterSettingsOptions) {
+export function createRouterSettings(options: RouterSettingsOptions) {
   const { id, log, vmList, purpose = 'test' } = options
   const anyPort = { host: '127.0.0.1', port: 0 }
   return {
@@ -27,7 +27,7 @@
     listen: { callers: anyPort, peers: anyPort, admin: anyPort },
     logService: { url: log.url },
     vmList: { url: vmList.url },
-    secrets: routerSecrets(purpose),
+    secrets: createRouterSecrets(purpose),
     logs: { level: 0 },
     stopping: { balancerDelayMs: 0 },
   }
--- a/packages/stand-ins/src/node/server/createStandIn.ts
+++ b/packages/stand-ins/src/node/server/createStandIn.ts
@@ -79,7 +79,7 @@
   return {
     address: taken,
     url: `http://${formatAddress(taken)}`,
-    silenceConnections: () => {
+    stallConnections: () => {
       for (const socket of sockets) {
         silenced.add(socket)
         socket.cork()
--- a/packages/stand-ins/src/node/server/standIn.ts
+++ b/packages/stand-ins/src/node/server/standIn.ts
@@ -6,7 +6,7 @@
   /** Base URL, `http://127.0.0.1:8000`. */
   readonly url: string
   /** Makes the connections open now silent for good; new ones work. */
-  silenceConnections(): void
+  stallConnections(): void
   /** Ends it at once, connections included. */
   close(): Promise<void>
 }
