--- a/packages/daemon/src/node/claims/__tests__/createKeyedRequest.ts
+++ b/packages/daemon/src/node/claims/__tests__/createKeyedRequest.ts
@@ -1,7 +1,7 @@
 import { ServiceKind } from '@auburnbay/core'
 import type { RoutedRequest } from '../../callers/routedRequest.js'
 
-/** Creates a non-idempotent request of a test. */
+/** Creates a non-idempotent request for tests. */
 export function createKeyedRequest(
   fields: Partial<RoutedRequest> = {},
 ): RoutedRequest {
--- a/packages/daemon/src/node/claims/__tests__/restart.test.ts
+++ b/packages/daemon/src/node/claims/__tests__/restart.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('claims after every router was restarted', () => {
-  it('are as they were', async () => {
+  it('are restored from the log', async () => {
     const log = await createLogService()
     const logs = createLogs({ format: LogFormat.Human, level: 0 })
     const start = () =>
@@ -43,7 +43,7 @@
     await log.close()
   })
 
-  it('are refused once the log has dropped them, new keys are not', async () => {
+  it('are refused once the log has dropped them, while new keys are accepted', async () => {
     const log = await createLogService()
     const logs = createLogs({ format: LogFormat.Human, level: 0 })
     const start = (logRetentionMs: number) =>
@@ -53,23 +53,23 @@
         logger: logs.forComponent('claims'),
         now: Date.now,
       })
-    const old = `${Date.now() - 7_200_000}.sign-off`
-    const fresh = `${Date.now()}.sign-off`
+    const oldKey = `${Date.now() - 7_200_000}.sign-off`
+    const newKey = `${Date.now()}.sign-off`
     const stream = log.stream('claims')
     stream.append([{}])
     stream.trim(stream.nextOffset)
 
-    const cautious = start(0)
-    await cautious.claim(createKeyedRequest(), fresh)
-    const refused = await cautious.claim(createKeyedRequest(), old)
+    const withoutRetention = start(0)
+    await withoutRetention.claim(createKeyedRequest(), newKey)
+    const refused = await withoutRetention.claim(createKeyedRequest(), oldKey)
     assert.equal(refused._unsafeUnwrapErr().code, 'key-too-old')
     stream.trim(stream.nextOffset)
 
-    const informed = start(3_600_000)
-    assert.ok((await informed.claim(createKeyedRequest(), fresh)).isOk())
-    const other = await informed.claim(createKeyedRequest(), old)
+    const withRetention = start(3_600_000)
+    assert.ok((await withRetention.claim(createKeyedRequest(), newKey)).isOk())
+    const other = await withRetention.claim(createKeyedRequest(), oldKey)
     assert.equal(other._unsafeUnwrapErr().code, 'key-too-old')
-    await Promise.all([cautious.stop(), informed.stop()])
+    await Promise.all([withoutRetention.stop(), withRetention.stop()])
     await log.close()
   })
 
--- a/packages/daemon/src/node/claims/claimFailures.ts
+++ b/packages/daemon/src/node/claims/claimFailures.ts
@@ -8,7 +8,7 @@
 import { createFailure } from '../callers/createFailure.js'
 import { CLAIM_RETRY_AFTER_S } from './constants.js'
 
-/** Says what is known of a key that another request holds. */
+/** Creates the failure for a key that another claim holds. */
 export function heldKeyFailure(
   holder: HeldClaim,
   digest: string,
@@ -37,37 +37,37 @@
   }
 }
 
-/** Refuses a key whose claims the log need not hold any more. */
+/** Creates the failure for a key whose claim the log may have dropped. */
 export function oldKeyFailure(): RequestFailure {
   const message =
     'the idempotency key is older than the log; ask the service whether it ran'
   return createFailure(FailureCode.KeyTooOld, message, Verdict.MayHaveRun)
 }
 
-/** Refuses a key without a time of its own. */
+/** Creates the failure for a key without a timestamp. */
 export function undatedKeyFailure(): RequestFailure {
   const message =
     'the idempotency key carries no time; use a UUID of version 7 or MILLISECONDS.NAME'
   return createFailure(FailureCode.BadRequest, message)
 }
 
-/** Refuses a key whose time is ahead of the log's clock. */
+/** Creates the failure for a key with a timestamp ahead of the log's clock. */
 export function futureKeyFailure(): RequestFailure {
   const message =
     'the time in the idempotency key is in the future; correct the clock'
   return createFailure(FailureCode.BadRequest, message)
 }
 
-/** Refuses a request because the log decided nothing in time. */
-export function logFailure(reason: string): RequestFailure {
+/** Creates the failure for a claim that the log did not decide in time. */
+export function logUnavailableFailure(reason: string): RequestFailure {
   const message = `the log service could not decide who runs the request: ${reason}; this request was not run`
   const { NotRun } = Verdict
   const { LogUnavailable } = FailureCode
   return createFailure(LogUnavailable, message, NotRun, CLAIM_RETRY_AFTER_S)
 }
 
-/** Refuses a request whose caller no longer waits. */
-export function abandonedFailure(): RequestFailure {
+/** Creates the failure for a request whose caller no longer waits for it. */
+export function deadlinePassedFailure(): RequestFailure {
   const message = 'the deadline passed before the request was sent'
   return createFailure(FailureCode.DeadlinePassed, message)
 }
--- a/packages/daemon/src/node/claims/claims.ts
+++ b/packages/daemon/src/node/claims/claims.ts
@@ -2,22 +2,22 @@
 import type { Result } from 'neverthrow'
 import type { RoutedRequest } from '../callers/routedRequest.js'
 
-/** A claim that this router won: it alone may dispatch the request. */
+/** A claim won by this router, which alone may dispatch the request. */
 export interface WonClaim {
   /** Records the status that a target answered with. */
   recordStatus(status: number): void
-  /** Records a failure; one that was not run leaves the key free again. */
+  /** Records a failure; `Verdict.NotRun` releases the key. */
   recordFailure(verdict: Verdict): void
 }
 
 /** Decides through the log which router dispatches a non-idempotent request. */
 export interface Claims {
-  /** Claims a request's idempotency key; the failure says what is known of it. */
+  /** Claims an idempotency key; a failure says what is known of the key. */
   claim(
     request: RoutedRequest,
     idempotencyKey: string,
   ): Promise<Result<WonClaim, RequestFailure>>
-  /** Appends to the log so far, and the records in them. */
+  /** Number of appends to the log so far, and of the records in them. */
   readonly appendCounts: { readonly appends: number; readonly records: number }
   stop(): Promise<void>
 }
--- a/packages/daemon/src/node/claims/createClaimTailer.ts
+++ b/packages/daemon/src/node/claims/createClaimTailer.ts
@@ -8,7 +8,7 @@
 import type { LogClient, LogPage } from '../logService/logClient.js'
 import { createLoop, type Loop } from '../tasks/createLoop.js'
 
-/** How the claims stream is followed. */
+/** Options for {@link createClaimTailer}. */
 export interface ClaimTailerOptions {
   readonly log: LogClient
   readonly table: ClaimTable
@@ -16,22 +16,22 @@
   readonly onDecision: (decision: ClaimDecision) => void
   /** Milliseconds since the epoch. */
   readonly now: () => number
-  /** Milliseconds for which the log surely keeps a record. */
+  /** Minimum time for which the log keeps a record, in milliseconds. */
   readonly logRetentionMs: number
 }
 
-/** Starts folding the claims stream into the table. */
+/** Starts applying the records of the claims stream to the table. */
 export function createClaimTailer(options: ClaimTailerOptions): Loop {
   const { log, table, logger, onDecision, now, logRetentionMs } = options
   let nextOffset = 0
   let logId: string | undefined
 
-  /** Forgets what the log no longer says, so that old keys are refused. */
+  /** Resets the table after a gap in the log; older keys are then refused. */
   function checkContinuity(page: LogPage): void {
     const replaced = logId !== undefined && page.logId !== logId
-    const shortened = page.nextOffset < nextOffset
+    const truncated = page.nextOffset < nextOffset
     logId = page.logId
-    if (replaced || shortened) {
+    if (replaced || truncated) {
       logger.error('The claims stream was replaced; older keys are refused.')
       table.reset(now())
       nextOffset = 0
@@ -43,7 +43,7 @@
     }
   }
 
-  function fold(page: LogPage): void {
+  function applyPage(page: LogPage): void {
     checkContinuity(page)
     for (const { value, offset, atMs } of page.records) {
       if (offset < nextOffset) continue
@@ -57,7 +57,7 @@
   return createLoop(
     async () => {
       const page = await log.read(CLAIMS_STREAM, nextOffset, LOG_POLL_WAIT_MS)
-      if (page.isOk()) fold(page.value)
+      if (page.isOk()) applyPage(page.value)
       else await new Promise((resolve) => setTimeout(resolve, LOG_RETRY_MS))
     },
     0,
--- a/packages/daemon/src/node/claims/createClaims.ts
+++ b/packages/daemon/src/node/claims/createClaims.ts
@@ -16,20 +16,20 @@
 import type { LogClient } from '../logService/logClient.js'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import {
-  abandonedFailure,
+  deadlinePassedFailure,
   futureKeyFailure,
   heldKeyFailure,
-  logFailure,
+  logUnavailableFailure,
   oldKeyFailure,
   undatedKeyFailure,
 } from './claimFailures.js'
 import { requestDigest, scopedKey } from './claimKey.js'
 import type { Claims, WonClaim } from './claims.js'
-import { CLAIMS_FLUSH_MS, MAX_ABANDONED_CLAIMS } from './constants.js'
+import { CLAIMS_FLUSH_TIMEOUT_MS, MAX_ABANDONED_CLAIMS } from './constants.js'
 import { createClaimTailer } from './createClaimTailer.js'
 import { createRecordBatcher } from './createRecordBatcher.js'
 
-/** What claims work with. */
+/** Options for {@link createClaims}. */
 export interface ClaimsOptions {
   readonly settings: ResolvedSettings['claims']
   readonly log: LogClient
@@ -38,38 +38,38 @@
   readonly now: () => number
 }
 
-/** One claim of this router. */
+/** A claim made by this router. */
 interface OwnClaim {
   readonly claimId: string
   readonly key: string
   readonly digest: string
 }
 
-type Decided = Result<HeldClaim, RequestFailure>
+type ClaimResult = Result<HeldClaim, RequestFailure>
 
-/** Starts following the claims stream and claiming on it. */
+/** Starts reading the claims stream and claiming keys through it. */
 export function createClaims(options: ClaimsOptions): Claims {
   const { settings, log, logger, now } = options
   const table = createClaimTable(settings.maxClaims)
-  const pending = new Map<string, (decided: Decided) => void>()
-  const abandoned = new Set<string>()
+  const pendingClaims = new Map<string, (result: ClaimResult) => void>()
+  const abandonedClaims = new Set<string>()
 
   function release({ claimId, key }: Pick<OwnClaim, 'claimId' | 'key'>): void {
     batcher.add({ kind: ClaimRecordKind.Release, claimId, key })
   }
 
   function onDecision({ claimId, key, holder }: ClaimDecision): void {
-    const settle = pending.get(claimId)
+    const settle = pendingClaims.get(claimId)
     if (settle) settle(ok(holder))
-    else if (abandoned.delete(claimId) && holder.claimId === claimId)
+    else if (abandonedClaims.delete(claimId) && holder.claimId === claimId)
       release({ claimId, key })
   }
 
   const batcher = createRecordBatcher({
     log,
     batchMs: settings.batchMs,
-    onRefused: (claimId, reason) => {
-      pending.get(claimId)?.(err(logFailure(reason)))
+    onNotAppended: (claimId, reason) => {
+      pendingClaims.get(claimId)?.(err(logUnavailableFailure(reason)))
     },
   })
   const tailer = createClaimTailer({
@@ -81,54 +81,54 @@
     logRetentionMs: settings.logRetentionMs,
   })
 
-  /** Gives up waiting; the claim is released should the log hold it. */
+  /** Stops waiting for a decision; a claim that wins later is released. */
   function abandon(claimId: string): void {
     if (batcher.withdraw(claimId)) return
-    abandoned.add(claimId)
-    for (const oldest of abandoned) {
-      if (abandoned.size <= MAX_ABANDONED_CLAIMS) return
-      abandoned.delete(oldest)
+    abandonedClaims.add(claimId)
+    for (const oldest of abandonedClaims) {
+      if (abandonedClaims.size <= MAX_ABANDONED_CLAIMS) return
+      abandonedClaims.delete(oldest)
     }
   }
 
-  function decide(own: OwnClaim): Promise<Decided> {
-    const { claimId } = own
+  function requestClaim(ownClaim: OwnClaim): Promise<ClaimResult> {
+    const { claimId } = ownClaim
     return new Promise((resolve) => {
-      const settle = (decided: Decided): void => {
+      const settle = (result: ClaimResult): void => {
         clearTimeout(timer)
-        pending.delete(claimId)
-        resolve(decided)
+        pendingClaims.delete(claimId)
+        resolve(result)
       }
       const timer = setTimeout(() => {
         abandon(claimId)
-        settle(err(logFailure('it did not answer in time')))
+        settle(err(logUnavailableFailure('it did not answer in time')))
       }, settings.decideTimeoutMs)
-      pending.set(claimId, settle)
-      batcher.add({ kind: ClaimRecordKind.Claim, ...own })
+      pendingClaims.set(claimId, settle)
+      batcher.add({ kind: ClaimRecordKind.Claim, ...ownClaim })
     })
   }
 
-  function checkWon(
+  function validateWonClaim(
     request: RoutedRequest,
-    timeMs: number | undefined,
+    keyTimeMs: number | undefined,
     held: HeldClaim,
   ): RequestFailure | undefined {
-    if (request.signal.aborted) return abandonedFailure()
-    if (timeMs === undefined) return undefined
-    if (timeMs > held.atMs + MAX_KEY_SKEW_MS) return futureKeyFailure()
-    if (!isKeyAfterHorizon(timeMs, table.horizonMs)) return oldKeyFailure()
+    if (request.signal.aborted) return deadlinePassedFailure()
+    if (keyTimeMs === undefined) return undefined
+    if (keyTimeMs > held.atMs + MAX_KEY_SKEW_MS) return futureKeyFailure()
+    if (!isKeyAfterHorizon(keyTimeMs, table.horizonMs)) return oldKeyFailure()
     return undefined
   }
 
-  function wonClaim({ claimId, key }: OwnClaim): WonClaim {
-    const outcome = (status?: number): void => {
+  function createWonClaim({ claimId, key }: OwnClaim): WonClaim {
+    const recordOutcome = (status?: number): void => {
       batcher.add({ kind: ClaimRecordKind.Outcome, claimId, key, status })
     }
     return {
-      recordStatus: outcome,
+      recordStatus: recordOutcome,
       recordFailure: (verdict) => {
         if (verdict === Verdict.NotRun) release({ claimId, key })
-        else outcome()
+        else recordOutcome()
       },
     }
   }
@@ -137,32 +137,35 @@
     request: RoutedRequest,
     idempotencyKey: string,
   ): Promise<Result<WonClaim, RequestFailure>> {
-    const timeMs = parseKeyTime(idempotencyKey)
-    if (timeMs === undefined && !settings.acceptUndatedKeys)
+    const keyTimeMs = parseKeyTime(idempotencyKey)
+    if (keyTimeMs === undefined && !settings.acceptUndatedKeys)
       return err(undatedKeyFailure())
     const key = scopedKey(request, idempotencyKey)
     const digest = requestDigest(request)
-    const known = table.find(key)
-    if (known) return err(heldKeyFailure(known, digest))
-    if (timeMs !== undefined && !isKeyAfterHorizon(timeMs, table.horizonMs))
+    const existing = table.find(key)
+    if (existing) return err(heldKeyFailure(existing, digest))
+    if (
+      keyTimeMs !== undefined &&
+      !isKeyAfterHorizon(keyTimeMs, table.horizonMs)
+    )
       return err(oldKeyFailure())
-    const own: OwnClaim = { claimId: randomUUID(), key, digest }
-    const decided = await decide(own)
-    if (decided.isErr()) return err(decided.error)
-    const holder = decided.value
-    if (holder.claimId !== own.claimId)
+    const ownClaim: OwnClaim = { claimId: randomUUID(), key, digest }
+    const result = await requestClaim(ownClaim)
+    if (result.isErr()) return err(result.error)
+    const holder = result.value
+    if (holder.claimId !== ownClaim.claimId)
       return err(heldKeyFailure(holder, digest))
-    const failure = checkWon(request, timeMs, holder)
-    if (!failure) return ok(wonClaim(own))
-    release(own)
+    const failure = validateWonClaim(request, keyTimeMs, holder)
+    if (!failure) return ok(createWonClaim(ownClaim))
+    release(ownClaim)
     return err(failure)
   }
 
   return {
     claim,
-    appendCounts: batcher.counts,
+    appendCounts: batcher.appendCounts,
     stop: async () => {
-      await batcher.stop(CLAIMS_FLUSH_MS)
+      await batcher.stop(CLAIMS_FLUSH_TIMEOUT_MS)
       await tailer.stop()
     },
   }
--- a/packages/daemon/src/node/claims/createRecordBatcher.ts
+++ b/packages/daemon/src/node/claims/createRecordBatcher.ts
@@ -5,90 +5,92 @@
   CLAIMS_STREAM,
 } from '@auburnbay/core'
 import type { LogClient } from '../logService/logClient.js'
-import { MAX_BATCH_RECORDS, MAX_WAITING_RECORDS } from './constants.js'
+import { MAX_BATCH_RECORDS, MAX_QUEUED_RECORDS } from './constants.js'
 
-/** Appends claim records, many at once. */
+/** Appends claim records to the log in batches. */
 export interface RecordBatcher {
   add(record: ClaimRecord): void
-  /** Takes a claim back; false when it may already be on the log. */
+  /** Removes a queued claim; false when it may already be on the log. */
   withdraw(claimId: string): boolean
-  readonly counts: { readonly appends: number; readonly records: number }
-  /** Appends what waits, within `ms` milliseconds, and ends. */
-  stop(ms: number): Promise<void>
+  readonly appendCounts: { readonly appends: number; readonly records: number }
+  /** Appends queued records for at most `timeoutMs`, then stops. */
+  stop(timeoutMs: number): Promise<void>
 }
 
-/** How records are appended. */
+/** Options for {@link createRecordBatcher}. */
 export interface RecordBatcherOptions {
   readonly log: LogClient
   /** Milliseconds between two appends. */
   readonly batchMs: number
-  /** Told of claims that are certainly not on the log. */
-  readonly onRefused: (claimId: string, reason: string) => void
+  /** Called with each claim that is certainly not on the log. */
+  readonly onNotAppended: (claimId: string, reason: string) => void
 }
 
-/** Creates a batcher with one append under way at a time. */
+/** Creates a batcher that runs one append at a time. */
 export function createRecordBatcher(
   options: RecordBatcherOptions,
 ): RecordBatcher {
-  const { log, batchMs, onRefused } = options
-  const counts = { appends: 0, records: 0 }
-  let waiting: ClaimRecord[] = []
-  let running: Promise<void> | undefined
+  const { log, batchMs, onNotAppended } = options
+  const appendCounts = { appends: 0, records: 0 }
+  let queue: ClaimRecord[] = []
+  let flushTask: Promise<void> | undefined
   let stopped = false
 
-  function putBack(batch: readonly ClaimRecord[]): void {
-    const lasting = batch.filter(({ kind }) => kind !== ClaimRecordKind.Claim)
-    waiting = [...lasting, ...waiting].slice(-MAX_WAITING_RECORDS)
+  function requeue(batch: readonly ClaimRecord[]): void {
+    const repeatable = batch.filter(
+      ({ kind }) => kind !== ClaimRecordKind.Claim,
+    )
+    queue = [...repeatable, ...queue].slice(-MAX_QUEUED_RECORDS)
   }
 
   async function appendBatch(): Promise<void> {
-    const batch = waiting.slice(0, MAX_BATCH_RECORDS)
-    waiting = waiting.slice(MAX_BATCH_RECORDS)
-    counts.appends += 1
-    counts.records += batch.length
+    const batch = queue.slice(0, MAX_BATCH_RECORDS)
+    queue = queue.slice(MAX_BATCH_RECORDS)
+    appendCounts.appends += 1
+    appendCounts.records += batch.length
     const result = await log.append(CLAIMS_STREAM, batch)
     if (result.isOk()) return
-    // A release or an outcome that is recorded twice does no harm.
-    putBack(batch)
+    // Releases and outcomes are idempotent, so they are appended again.
+    requeue(batch)
     if (result.error.mayHaveTakenEffect) return
     for (const { kind, claimId } of batch)
       if (kind === ClaimRecordKind.Claim)
-        onRefused(claimId, result.error.message)
+        onNotAppended(claimId, result.error.message)
   }
 
-  async function run(): Promise<void> {
-    while (waiting.length > 0 && !stopped) {
+  async function flushQueue(): Promise<void> {
+    while (queue.length > 0 && !stopped) {
       await appendBatch()
       await sleep(batchMs)
     }
   }
 
-  function start(): void {
+  function startFlush(): void {
     if (stopped) return
-    running ??= run().finally(() => {
-      running = undefined
-      if (waiting.length > 0) start()
+    flushTask ??= flushQueue().finally(() => {
+      flushTask = undefined
+      if (queue.length > 0) startFlush()
     })
   }
 
   return {
-    counts,
+    appendCounts,
     add: (record) => {
-      waiting.push(record)
-      start()
+      queue.push(record)
+      startFlush()
     },
     withdraw: (claimId) => {
-      const kept = waiting.filter((record) => record.claimId !== claimId)
-      const withdrawn = kept.length < waiting.length
-      waiting = kept
+      const remaining = queue.filter((record) => record.claimId !== claimId)
+      const withdrawn = remaining.length < queue.length
+      queue = remaining
       return withdrawn
     },
-    stop: async (ms) => {
-      const limit = sleep(ms, undefined, { ref: false })
-      while (running !== undefined) {
+    stop: async (timeoutMs) => {
+      const timeout = sleep(timeoutMs, undefined, { ref: false })
+      while (flushTask !== undefined) {
         const inTime = await Promise.race([
-          running.then(() => true),
-          limit.then(() => false),
+          flushTask.then(() => true),
+          timeout.then(() => false),
         ])
         if (!inTime) break
       }
