--- a/packages/daemon/src/node/health/__tests__/ejection.test.ts
+++ b/packages/daemon/src/node/health/__tests__/ejection.test.ts
@@ -21,47 +21,53 @@
   const call = (chat: string, headers: Record<string, string> = {}) =>
     callChat(fleet.callerUrl(), fleet.callerKey, chat, headers)
 
-  /** A chat whose first choice is the engine that fails. */
+  /** Returns a chat whose preferred target is `target`. */
   async function findChat(target: string): Promise<string> {
     for (let index = 0; index < 100; index += 1) {
-      const answer = await call(`chat-${index}`)
-      if (answer.headers[TARGET_HEADER] === target) return `chat-${index}`
+      const response = await call(`chat-${index}`)
+      if (response.headers[TARGET_HEADER] === target) return `chat-${index}`
     }
-    throw new Error('no chat chooses this target')
+    throw new Error(`no chat is routed to ${target}`)
   }
 
-  it('is left out, probed by an idempotent request, and used again', async () => {
+  it('is ejected, probed by an idempotent request, and used again', async () => {
     const [engine] = fleet.engines
     assert.ok(engine)
     const chat = await findChat('engine-1')
     engine.faults.resetAfter = true
-    const ranBefore = engine.runs.length
-    // A reset of the kept connection says nothing of the target, so the first
-    // request tries it once more on a new connection before it fails over.
+    const runsBefore = engine.runs.length
+    // A reset on a reused connection is no evidence against the target, so the
+    // first request retries it on a new connection before it fails over.
     assert.equal((await call(chat)).headers[TARGET_HEADER], 'engine-2')
-    assert.equal(engine.runs.length, ranBefore + 2)
-    // Without a kept connection a request sends the target one try.
+    assert.equal(engine.runs.length, runsBefore + 2)
+    // Without a reused connection a request tries the target once.
     assert.equal((await call(chat)).headers[TARGET_HEADER], 'engine-2')
-    const ranFirst = ranBefore + 3
-    assert.equal(engine.runs.length, ranFirst)
+    const runsAfterEjection = runsBefore + 3
+    assert.equal(engine.runs.length, runsAfterEjection)
 
-    // A non-idempotent request never probes, however long the hold-down is over.
-    const once = { [IDEMPOTENT_HEADER]: 'false' }
+    // A non-idempotent request never probes, even after the hold-down has ended.
+    const nonIdempotent = { [IDEMPOTENT_HEADER]: 'false' }
     await new Promise((resolve) => setTimeout(resolve, 250))
-    assert.equal((await call(chat, once)).headers[TARGET_HEADER], 'engine-2')
-    assert.equal(engine.runs.length, ranFirst)
+    assert.equal(
+      (await call(chat, nonIdempotent)).headers[TARGET_HEADER],
+      'engine-2',
+    )
+    assert.equal(engine.runs.length, runsAfterEjection)
 
-    // The probe fails: its caller still gets an answer from the other engine.
+    // The probe fails, and its caller gets a response from the other engine.
     assert.equal((await call(chat)).headers[TARGET_HEADER], 'engine-2')
-    assert.equal(engine.runs.length, ranFirst + 1)
-    assert.equal((await call(chat, once)).headers[TARGET_HEADER], 'engine-2')
+    assert.equal(engine.runs.length, runsAfterEjection + 1)
+    assert.equal(
+      (await call(chat, nonIdempotent)).headers[TARGET_HEADER],
+      'engine-2',
+    )
 
     engine.faults.resetAfter = false
     await eventually(
       async () => (await call(chat)).headers[TARGET_HEADER] === 'engine-1',
     )
-    const answer = await call(chat, once)
-    assert.equal(answer.headers[TARGET_HEADER], 'engine-1')
+    const response = await call(chat, nonIdempotent)
+    assert.equal(response.headers[TARGET_HEADER], 'engine-1')
   })
 
   it('never runs a non-idempotent request twice', async () => {
@@ -71,10 +77,10 @@
     engine.faults.resetAfter = true
     const runs = () => fleet.engines.reduce((sum, e) => sum + e.runs.length, 0)
     const ranBefore = runs()
-    const answer = await call(chat, { [IDEMPOTENT_HEADER]: 'false' })
+    const response = await call(chat, { [IDEMPOTENT_HEADER]: 'false' })
     engine.faults.resetAfter = false
-    assert.equal(answer.status, 502)
-    assert.match(answer.text, /may-have-run/)
+    assert.equal(response.status, 502)
+    assert.match(response.text, /may-have-run/)
     assert.equal(runs(), ranBefore + 1)
   })
 })
--- a/packages/daemon/src/node/health/createHealthTrackingClient.ts
+++ b/packages/daemon/src/node/health/createHealthTrackingClient.ts
@@ -3,53 +3,56 @@
 import type { TargetClient } from '../targets/targetClient.js'
 import type { TargetFailure } from '../targets/targetFailure.js'
 import type { TargetResponse } from '../targets/targetResponse.js'
-import type { SentRequest, TargetHealth } from './targetHealth.js'
+import type { TargetHealth, TrackedRequest } from './targetHealth.js'
 
 const FIRST_SERVER_ERROR = 500
 
-function watchReply(
-  sent: SentRequest,
-  reply: TargetResponse,
+function recordResponse(
+  tracked: TrackedRequest,
+  response: TargetResponse,
   request: RoutedRequest,
 ): void {
-  if (reply.status >= FIRST_SERVER_ERROR) {
-    sent.failed()
+  if (response.status >= FIRST_SERVER_ERROR) {
+    tracked.recordFailure()
     return
   }
-  // A probe need not wait for the end of a long stream.
-  if (sent.isProbe) {
-    sent.succeeded()
+  // The status decides a probe, which need not wait for a long stream to end.
+  if (tracked.isProbe) {
+    tracked.recordSuccess()
     return
   }
-  reply.body.once('close', () => {
-    if (reply.body.complete) sent.succeeded()
-    else if (request.signal.aborted) sent.abandoned()
-    else sent.failed()
+  response.body.once('close', () => {
+    if (response.body.complete) tracked.recordSuccess()
+    else if (request.signal.aborted) tracked.recordUnknown()
+    else tracked.recordFailure()
   })
 }
 
-function watchFailure(sent: SentRequest, failure: TargetFailure): void {
+function recordFailedAttempt(
+  tracked: TrackedRequest,
+  failure: TargetFailure,
+): void {
   const { code, verdict, reusedConnection } = failure
-  // A connection that was kept too long says nothing of its target.
-  if (reusedConnection) sent.abandoned()
+  // A reused connection may have gone stale: no evidence against the target.
+  if (reusedConnection) tracked.recordUnknown()
   else if (code === FailureCode.TargetFailed && verdict === Verdict.NotRun)
-    sent.refused()
-  else sent.failed()
+    tracked.recordRefusal()
+  else tracked.recordFailure()
 }
 
-/** Creates a client that tells `health` how each request ended. */
+/** Wraps a target client and records request outcomes in `health`. */
 export function createHealthTrackingClient(
-  targets: TargetClient,
+  client: TargetClient,
   health: TargetHealth,
 ): TargetClient {
   return {
-    ...targets,
+    ...client,
     async send(target, request, ...rest) {
-      const sent = health.sent(target.id)
-      const result = await targets.send(target, request, ...rest)
-      if (result.isOk()) watchReply(sent, result.value, request)
-      else if (request.signal.aborted) sent.abandoned()
-      else watchFailure(sent, result.error)
+      const tracked = health.trackRequest(target.id)
+      const result = await client.send(target, request, ...rest)
+      if (result.isOk()) recordResponse(tracked, result.value, request)
+      else if (request.signal.aborted) tracked.recordUnknown()
+      else recordFailedAttempt(tracked, result.error)
       return result
     },
   }
--- a/packages/daemon/src/node/health/createTargetHealth.ts
+++ b/packages/daemon/src/node/health/createTargetHealth.ts
@@ -9,24 +9,25 @@
 } from '@auburnbay/core'
 import type { ConsolaInstance } from 'consola'
 import type { Metrics } from '../metrics/metrics.js'
-import type { SentRequest, TargetHealth } from './targetHealth.js'
+import type { TargetHealth, TrackedRequest } from './targetHealth.js'
 
-/** What target health works with. */
+/** Options for {@link createTargetHealth}. */
 export interface TargetHealthOptions {
   readonly settings: HealthOptions
   readonly configuration: () => Configuration
   readonly metrics: Metrics
   readonly logger: ConsolaInstance
+  /** Milliseconds of the monotonic clock. */
   readonly now: () => number
 }
 
-/** Creates passive health checks with ejection for all services. */
+/** Creates passive health checks with outlier ejection for all services. */
 export function createTargetHealth(options: TargetHealthOptions): TargetHealth {
   const { settings, configuration, metrics, logger, now } = options
   const services = new Map<string, ServiceHealth>()
-  let seen: Configuration | undefined
+  let appliedConfiguration: Configuration | undefined
 
-  function takeIn(cfg: Configuration): void {
+  function applyConfiguration(cfg: Configuration): void {
     const targets = new Map<string, string[]>()
     for (const service of Object.keys(cfg.services)) targets.set(service, [])
     for (const [id, { service }] of Object.entries(cfg.targets))
@@ -40,52 +41,60 @@
     }
   }
 
-  function find(targetId: string): ServiceHealth | undefined {
+  function findServiceHealth(targetId: string): ServiceHealth | undefined {
     const cfg = configuration()
-    if (cfg !== seen) takeIn(cfg)
-    seen = cfg
+    if (cfg !== appliedConfiguration) applyConfiguration(cfg)
+    appliedConfiguration = cfg
     const service = cfg.targets[targetId]?.service
     return service === undefined ? undefined : services.get(service)
   }
 
-  function report(targetId: string, change: HealthChange): void {
+  function reportChange(targetId: string, change: HealthChange): void {
     const service = configuration().targets[targetId]?.service ?? ''
     const tags = { service, target: targetId }
     switch (change) {
       case HealthChange.Ejected:
         metrics.count('targets.ejected', 1, tags)
-        logger.warn(`Ejected ${targetId}; a request will probe it later.`)
+        logger.warn(
+          `Ejected target ${targetId}; a later request will probe it.`,
+        )
         break
       case HealthChange.Recovered:
         metrics.count('targets.recovered', 1, tags)
-        logger.info(`${targetId} answers again.`)
+        logger.info(`Target ${targetId} recovered.`)
         break
       case HealthChange.None:
         break
     }
   }
 
-  function sent(targetId: string): SentRequest {
-    const isProbe = find(targetId)?.recordStart(targetId, now()) ?? false
-    const end = (outcome: TargetOutcome) => (): void => {
-      const health = find(targetId)
+  function trackRequest(targetId: string): TrackedRequest {
+    const isProbe =
+      findServiceHealth(targetId)?.recordStart(targetId, now()) ?? false
+    const recorderOf = (outcome: TargetOutcome) => (): void => {
+      const health = findServiceHealth(targetId)
       if (!health) return
-      report(targetId, health.recordOutcome(targetId, outcome, now(), isProbe))
+      reportChange(
+        targetId,
+        health.recordOutcome(targetId, outcome, now(), isProbe),
+      )
     }
     return {
       isProbe,
-      succeeded: end(TargetOutcome.Success),
-      failed: end(TargetOutcome.Failure),
-      refused: end(TargetOutcome.Refused),
-      abandoned: end(TargetOutcome.Unknown),
+      recordSuccess: recorderOf(TargetOutcome.Success),
+      recordFailure: recorderOf(TargetOutcome.Failure),
+      recordRefusal: recorderOf(TargetOutcome.Refused),
+      recordUnknown: recorderOf(TargetOutcome.Unknown),
     }
   }
 
   return {
-    sent,
+    trackRequest,
     isEligible: (targetId, idempotent) =>
-      find(targetId)?.isEligible(targetId, idempotent, now()) ?? true,
+      findServiceHealth(targetId)?.isEligible(targetId, idempotent, now()) ??
+      true,
     circuit: (targetId) =>
-      find(targetId)?.circuit(targetId, now()) ?? CircuitState.Closed,
+      findServiceHealth(targetId)?.circuit(targetId, now()) ??
+      CircuitState.Closed,
   }
 }
--- a/packages/daemon/src/node/health/targetHealth.ts
+++ b/packages/daemon/src/node/health/targetHealth.ts
@@ -1,22 +1,22 @@
 import type { CircuitState } from '@auburnbay/core'
 
-/** Watches one request that was sent to a target. */
-export interface SentRequest {
+/** Records the outcome of one request that was sent to a target. */
+export interface TrackedRequest {
   /** Whether the request probes a target that was ejected. */
   readonly isProbe: boolean
-  succeeded(): void
-  failed(): void
-  /** The target refused the request before running it. */
-  refused(): void
-  /** The request ended without evidence, as when the caller went away. */
-  abandoned(): void
+  recordSuccess(): void
+  recordFailure(): void
+  /** Records that the target refused the request before running it. */
+  recordRefusal(): void
+  /** Records an end without evidence, as when the caller disconnected. */
+  recordUnknown(): void
 }
 
-/** Knows which targets work, from the requests that went there. */
+/** Passive health checks of targets, based on the outcomes of requests. */
 export interface TargetHealth {
-  /** Whether a request may go to a target now. */
+  /** Whether a request may be sent to a target now. */
   isEligible(targetId: string, idempotent: boolean): boolean
-  /** Starts watching a request to a target. */
-  sent(targetId: string): SentRequest
+  /** Records that a request is sent to a target and tracks its outcome. */
+  trackRequest(targetId: string): TrackedRequest
   circuit(targetId: string): CircuitState
 }
