--- a/packages/daemon/src/node/orders/__tests__/orders.test.ts
+++ b/packages/daemon/src/node/orders/__tests__/orders.test.ts
@@ -14,18 +14,21 @@
   startFleet,
 } from '../../__tests__/startFleet.js'
 
-const CHANGE_TIMEOUT_MS = 40_000
+const MODEL_CHANGE_TIMEOUT_MS = 40_000
 
-function wantedState(model: string) {
+function createEngineState(model: string) {
   return { model, modelVersion: '1', adapters: {}, role: 'mixed' }
 }
 
 describe('orders to engines', () => {
   let fleet: Fleet
-  let store: WeightStoreStandIn
+  let weightStore: WeightStoreStandIn
 
-  async function order(model: string, baseVersion: number): Promise<void> {
-    const reply = await fleet.patch(
+  async function setDesiredModel(
+    model: string,
+    baseVersion: number,
+  ): Promise<void> {
+    const response = await fleet.patch(
       [1, 2].map((index) => ({
         op: 'add',
         path: `/targets/engine-${index}/desired`,
@@ -33,64 +36,66 @@
       })),
       baseVersion,
     )
-    assert.equal(reply.status, 200, JSON.stringify(reply.body))
+    assert.equal(response.status, 200, JSON.stringify(response.body))
   }
 
-  const holds = (engine: EngineStandIn, model: string) =>
+  const waitForModel = (engine: EngineStandIn, model: string) =>
     eventually(() => engine.orders.state.model === model)
 
   before(async () => {
-    store = await createWeightStore(60)
+    weightStore = await createWeightStore(60)
     fleet = await startFleet({
       routers: 2,
       engines: 2,
-      engine: { orders: { weightStoreUrl: store.url, checksFencing: false } },
+      engine: {
+        orders: { weightStoreUrl: weightStore.url, checksFencing: false },
+      },
       settings: { orders: { leaseMs: 2_000, weightLoadsPerMinute: 60 } },
     })
   })
 
   after(async () => {
     await fleet.stop()
-    await store.close()
+    await weightStore.close()
   })
 
   it('changes models only on drained engines, within the store’s rate', async () => {
-    await order('first', 1)
+    await setDesiredModel('first', 1)
     let sent = 0
     const failed: string[] = []
-    // Both engines are changed one after the other, which takes a while.
+    // The engines are changed one after the other, while chats go on.
     const areChanged = async (): Promise<boolean> => {
       const chat = `chat-${sent}`
       const url = fleet.callerUrl(sent % 2)
       sent += 1
-      const answer = await callChat(url, fleet.callerKey, chat)
-      if (answer.status !== 200) failed.push(answer.text)
+      const response = await callChat(url, fleet.callerKey, chat)
+      if (response.status !== 200) failed.push(response.text)
       return fleet.engines.every((e) => e.orders.state.model === 'first')
     }
-    const end = performance.now() + CHANGE_TIMEOUT_MS
+    const end = performance.now() + MODEL_CHANGE_TIMEOUT_MS
     while (performance.now() < end && !(await areChanged()));
     assert.ok(await areChanged(), 'the engines were not changed')
     assert.deepEqual(failed, [])
     const applied = fleet.engines.flatMap((engine) => engine.orders.applied)
     assert.ok(applied.every(({ inFlight }) => inFlight === 0))
-    assert.equal(store.refused.length, 0)
+    assert.equal(weightStore.refused.length, 0)
   })
 
-  it('corrects an engine that took a paused holder’s late order', async () => {
+  it('corrects an engine that accepted a late order of a paused lease holder', async () => {
     const [engine] = fleet.engines
     assert.ok(engine)
     const late = await requestJson({
       method: 'PUT',
       url: `${engine.url}/orders/state`,
-      body: { token: -1, state: wantedState('late') },
+      body: { token: -1, state: createEngineState('late') },
       timeoutMs: 2_000,
     })
     assert.equal(late._unsafeUnwrap().status, 200)
     assert.equal(engine.orders.state.model, 'late')
-    await holds(engine, 'first')
+    await waitForModel(engine, 'first')
   })
 
-  it('never lets two routers hold the lease under one token', () => {
+  it('grants the lease to one router only', () => {
     const { nextOffset } = fleet.log.stream(LEASE_STREAM)
     const records = fleet.log.stream(LEASE_STREAM).read(0, nextOffset)
     const holders = new Set(
@@ -101,14 +106,14 @@
 })
 
 describe('an engine that checks fencing tokens', () => {
-  it('refuses a paused holder’s late order', async () => {
+  it('refuses a late order of a paused lease holder', async () => {
     const fleet = await startFleet({
       routers: 1,
       engines: 1,
       settings: { orders: { leaseMs: 2_000, weightLoadsPerMinute: 600 } },
     })
     try {
-      // Records that others left, so that the holder's token is above zero.
+      // Earlier records raise the holder's token above that of the late order.
       fleet.log.stream(LEASE_STREAM).append([null, null, null])
       const path = '/targets/engine-1/desired'
       const value = { model: 'right' }
@@ -119,7 +124,7 @@
       const late = await requestJson({
         method: 'PUT',
         url: `${engine.url}/orders/state`,
-        body: { token: 1, state: wantedState('late') },
+        body: { token: 1, state: createEngineState('late') },
         timeoutMs: 2_000,
       })
       assert.equal(late._unsafeUnwrap().status, 409)
--- a/packages/daemon/src/node/orders/constants.ts
+++ b/packages/daemon/src/node/orders/constants.ts
@@ -1,8 +1,8 @@
 /** Milliseconds between two rounds of orders. */
-export const ORDER_ROUND_MS = 1_000
-/** Milliseconds that reading an engine's state may take. */
+export const ORDER_INTERVAL_MS = 1_000
+/** Timeout for reading an engine's state or load, in milliseconds. */
 export const ORDER_READ_TIMEOUT_MS = 1_000
-/** Milliseconds that an engine may take to answer an order. */
+/** Timeout for an engine's response to an order, in milliseconds. */
 export const ORDER_SEND_TIMEOUT_MS = 120_000
-/** Orders that are under way at once at most. */
-export const ORDERS_AT_ONCE = 16
+/** Maximum number of orders in flight. */
+export const MAX_CONCURRENT_ORDERS = 16
--- a/packages/daemon/src/node/orders/createLeaseKeeper.ts
+++ b/packages/daemon/src/node/orders/createLeaseHolder.ts
@@ -9,19 +9,19 @@
 } from '@auburnbay/core'
 import type { LogClient } from '../logService/logClient.js'
 
-/** Holds one lease while it is wanted. */
-export interface LeaseKeeper {
-  /** Reads the log and asks for the lease, or renews it, where that is due. */
-  keep(): Promise<HeldLease | undefined>
-  /** Reads the log once more; undefined unless the lease is still held. */
+/** Acquires and renews one lease through the log service. */
+export interface LeaseHolder {
+  /** Acquires or renews the lease when due; undefined while it is not held. */
+  acquireOrRenew(): Promise<HeldLease | undefined>
+  /** Reads the log again; undefined unless the lease is still held. */
   confirm(): Promise<HeldLease | undefined>
 }
 
-/** What keeping a lease works with. */
-export interface LeaseKeeperOptions {
+/** Options for {@link createLeaseHolder}. */
+export interface LeaseHolderOptions {
   readonly log: LogClient
   readonly name: string
-  /** Router and incarnation. */
+  /** Identity of this holder: router and incarnation. */
   readonly holder: string
   readonly ttlMs: number
   /** Milliseconds of the monotonic clock. */
@@ -30,23 +30,23 @@
   readonly nowEpochMs: () => number
 }
 
-/** Creates the keeper of a lease. */
-export function createLeaseKeeper(options: LeaseKeeperOptions): LeaseKeeper {
+/** Creates the holder of the lease `name`. */
+export function createLeaseHolder(options: LeaseHolderOptions): LeaseHolder {
   const { log, name, holder, ttlMs, now } = options
   let table = createLeaseTable()
   let logId: string | undefined
-  let sent: LeaseRequest | undefined
+  let lastRequest: LeaseRequest | undefined
 
-  async function read(): Promise<boolean> {
+  async function readLog(): Promise<boolean> {
     const page = await log.read(LEASE_STREAM, table.nextOffset)
     if (page.isErr()) return false
-    const isOtherLog = logId !== undefined && logId !== page.value.logId
-    const isShorter = page.value.nextOffset < table.nextOffset
+    const isReplaced = logId !== undefined && logId !== page.value.logId
+    const isTruncated = page.value.nextOffset < table.nextOffset
     logId = page.value.logId
-    if (isOtherLog || isShorter) {
-      // Tokens of another log say nothing of the order of holders.
+    if (isReplaced || isTruncated) {
+      // Fencing tokens of different logs are not comparable.
       table = createLeaseTable()
-      sent = undefined
+      lastRequest = undefined
       return false
     }
     for (const record of page.value.records)
@@ -54,21 +54,21 @@
     return table.nextOffset >= page.value.nextOffset
   }
 
-  function held(): HeldLease | undefined {
-    const lease = sent ? findHeldLease(table, sent) : undefined
+  function findValidLease(): HeldLease | undefined {
+    const lease = lastRequest ? findHeldLease(table, lastRequest) : undefined
     return lease && now() < lease.validUntilMs ? lease : undefined
   }
 
-  async function ask(): Promise<void> {
+  async function requestLease(): Promise<void> {
     const requestId = randomUUID()
-    const asked = { name, requestId, ttlMs, sentAtMs: now() }
+    const request = { name, requestId, ttlMs, sentAtMs: now() }
     const record = { type: 'lease', name, holder, ttlMs, requestId }
     const appended = await log.append(LEASE_STREAM, [record])
     if (appended.isErr() && !appended.error.mayHaveTakenEffect) return
-    sent = asked
+    lastRequest = request
   }
 
-  function isOthers(): boolean {
+  function isHeldByOther(): boolean {
     const lease = table.leases.get(name)
     return (
       lease !== undefined &&
@@ -78,16 +78,16 @@
   }
 
   async function confirm(): Promise<HeldLease | undefined> {
-    return (await read()) ? held() : undefined
+    return (await readLog()) ? findValidLease() : undefined
   }
 
   return {
     confirm,
-    async keep() {
-      const before = await confirm()
-      const remainingMs = before ? before.validUntilMs - now() : 0
-      if (remainingMs > ttlMs / 2 || isOthers()) return before
-      await ask()
+    async acquireOrRenew() {
+      const current = await confirm()
+      const remainingMs = current ? current.validUntilMs - now() : 0
+      if (remainingMs > ttlMs / 2 || isHeldByOther()) return current
+      await requestLease()
       return confirm()
     },
   }
--- a/packages/daemon/src/node/orders/createOrderTask.ts
+++ b/packages/daemon/src/node/orders/createOrderTask.ts
@@ -18,52 +18,54 @@
 import type { ConsolaInstance } from 'consola'
 import type { PeerStatus } from '../membership/createMembership.js'
 import { createLoop, type Loop } from '../tasks/createLoop.js'
-import { ORDER_ROUND_MS, ORDERS_AT_ONCE } from './constants.js'
-import type { LeaseKeeper } from './createLeaseKeeper.js'
+import { MAX_CONCURRENT_ORDERS, ORDER_INTERVAL_MS } from './constants.js'
+import type { LeaseHolder } from './createLeaseHolder.js'
 import {
   readEngineLoad,
   readEngineState,
   sendEngineState,
 } from './engineClient.js'
 
-/** What sending orders works with. */
+/** Options for {@link createOrderTask}. */
 export interface OrderTaskOptions {
   readonly router: string
   readonly configuration: () => Configuration
   readonly peers: () => readonly PeerStatus[]
+  /** Requests in flight from this router, by target. */
   readonly ownInFlight: () => Readonly<Record<string, number>>
-  readonly lease: LeaseKeeper
-  /** Tells all routers that targets get no new work. */
-  readonly announce: (targets: readonly string[]) => void
-  /** Whether this router reads the log and it answers. */
+  readonly leaseHolder: LeaseHolder
+  /** Announces to all routers that targets get no new requests. */
+  readonly announceDraining: (targets: readonly string[]) => void
+  /** Whether this router reads the log and the log responds. */
   readonly readsLog: () => boolean
+  /** Loads of weights a minute over the whole fleet. */
   readonly loadsPerMinute: number
   /** Milliseconds of the monotonic clock. */
   readonly now: () => number
   readonly logger: ConsolaInstance
 }
 
-/** Starts bringing engines to the state that the configuration orders. */
+/** Starts reconciling engines with the configuration's desired states. */
 export function createOrderTask(options: OrderTaskOptions): Loop {
-  const { configuration, peers, lease, now, logger } = options
-  const drainingSince = new Map<string, number>()
-  const returnsAtMs = new Map<string, number>()
-  const sending = new Set<string>()
-  const reached = new Map<string, EngineState>()
-  let budget = createLoadBudget(now())
+  const { configuration, peers, leaseHolder, now, logger } = options
+  const drainingSinceMs = new Map<string, number>()
+  const availableAgainAtMs = new Map<string, number>()
+  const ordersInFlight = new Set<string>()
+  const reachedStates = new Map<string, EngineState>()
+  let loadBudget = createLoadBudget(now())
   let heldToken: number | undefined
 
   function isCandidate(): boolean {
     if (!options.readsLog()) return false
-    const reading = peers().filter(
+    const logReaders = peers().filter(
       ({ heartbeat }) => heartbeat.configuration?.readsLog,
     )
-    const routers = [options.router, ...reading.map(({ id }) => id)]
+    const routers = [options.router, ...logReaders.map(({ id }) => id)]
     const weighted = routers.map((id) => ({ id, weight: 1 }))
     return rendezvousOrder('orders', weighted)[0]?.id === options.router
   }
 
-  function sightings(target: string): InFlightSample[] {
+  function collectInFlightSamples(target: string): InFlightSample[] {
     const own = {
       inFlight: options.ownInFlight()[target] ?? 0,
       atMs: now(),
@@ -75,104 +77,114 @@
     return [own, ...others]
   }
 
-  // A router need not poll the load of every target, but the holder must know.
-  async function evidence(
+  // Reads the engine's load directly: a router need not poll every target, but
+  // the lease holder needs the load of those that drain.
+  async function readDrainStatus(
     target: string,
     address: string,
   ): Promise<DrainStatus> {
-    const sinceMs = drainingSince.get(target)
+    const sinceMs = drainingSinceMs.get(target)
     if (sinceMs === undefined) return { routers: [] }
     const atMs = now()
     const inFlight = await readEngineLoad(address)
     const report = inFlight === undefined ? undefined : { inFlight, atMs }
-    return { sinceMs, routers: sightings(target), target: report }
+    return { sinceMs, routers: collectInFlightSamples(target), target: report }
   }
 
-  function hasStrayed(
+  function detectDrift(
     id: string,
     desired: EngineState,
     observed: EngineState | undefined,
   ): boolean {
-    const last = reached.get(id)
-    if (observed && isSameState(observed, desired)) reached.set(id, desired)
+    const last = reachedStates.get(id)
+    if (observed && isSameState(observed, desired))
+      reachedStates.set(id, desired)
     const wasReached = last !== undefined && isSameState(last, desired)
     return (
       wasReached && observed !== undefined && !isSameState(observed, desired)
     )
   }
 
-  async function observe(): Promise<ManagedTarget[]> {
-    const ordered = Object.entries(configuration().targets)
-    const found = ordered.map(async ([id, target]) => {
+  async function observeTargets(): Promise<ManagedTarget[]> {
+    const configured = Object.entries(configuration().targets)
+    const observations = configured.map(async ([id, target]) => {
       const { address, desired, service } = target
       if (!desired) return undefined
       const observed = await readEngineState(address)
-      const drain = await evidence(id, address)
-      const returns = returnsAtMs.get(id)
-      const strayed = hasStrayed(id, desired, observed)
-      const place = { id, service, drain, returnsAtMs: returns }
-      return { ...place, desired, observed, strayed }
+      const drain = await readDrainStatus(id, address)
+      const returnsAtMs = availableAgainAtMs.get(id)
+      const strayed = detectDrift(id, desired, observed)
+      const base = { id, service, drain, returnsAtMs }
+      return { ...base, desired, observed, strayed }
     })
-    const targets = await Promise.all(found)
+    const targets = await Promise.all(observations)
     return targets.filter((target) => target !== undefined)
   }
 
-  async function send(action: OrderAction): Promise<void> {
+  async function sendOrder(action: OrderAction): Promise<void> {
     const address = configuration().targets[action.target]?.address
-    // The last look at log and clock before anything leaves this router.
-    const held = await lease.confirm()
-    if (address === undefined || held?.token !== action.token) return
-    logger.info(`Ordering ${action.state.model} on ${action.target}.`)
+    // Last check of the lease against log and clock before the order is sent.
+    const currentLease = await leaseHolder.confirm()
+    if (address === undefined || currentLease?.token !== action.token) return
+    logger.info(
+      `Ordering model ${action.state.model} on target ${action.target}.`,
+    )
     await sendEngineState(address, action.token, action.state)
   }
 
-  function start(action: OrderAction): void {
-    if (sending.has(action.target)) return
-    if (sending.size >= ORDERS_AT_ONCE) return
-    budget = { ...budget, available: budget.available - action.loads }
-    sending.add(action.target)
-    void send(action).finally(() => sending.delete(action.target))
+  function startOrder(action: OrderAction): void {
+    if (ordersInFlight.has(action.target)) return
+    if (ordersInFlight.size >= MAX_CONCURRENT_ORDERS) return
+    loadBudget = {
+      ...loadBudget,
+      available: loadBudget.available - action.loads,
+    }
+    ordersInFlight.add(action.target)
+    void sendOrder(action).finally(() => ordersInFlight.delete(action.target))
   }
 
-  function drain(actions: readonly OrderAction[]): void {
-    const wanted = new Set(actions.map(({ target }) => target))
-    for (const target of wanted)
-      if (!drainingSince.has(target)) drainingSince.set(target, now())
-    for (const target of drainingSince.keys()) {
-      if (wanted.has(target) || sending.has(target)) continue
-      drainingSince.delete(target)
-      returnsAtMs.set(target, now() + LEAVING_TTL_MS + DRAIN_PROPAGATION_MS)
+  function updateDraining(actions: readonly OrderAction[]): void {
+    const toDrain = new Set(actions.map(({ target }) => target))
+    for (const target of toDrain)
+      if (!drainingSinceMs.has(target)) drainingSinceMs.set(target, now())
+    for (const target of drainingSinceMs.keys()) {
+      if (toDrain.has(target) || ordersInFlight.has(target)) continue
+      drainingSinceMs.delete(target)
+      availableAgainAtMs.set(
+        target,
+        now() + LEAVING_TTL_MS + DRAIN_PROPAGATION_MS,
+      )
     }
-    options.announce([...drainingSince.keys()])
+    options.announceDraining([...drainingSinceMs.keys()])
   }
 
-  function follow(held: HeldLease): void {
-    if (held.token !== heldToken) budget = createLoadBudget(now())
-    heldToken = held.token
-    budget = refillBudget(budget, options.loadsPerMinute, now())
+  function refillLoadBudget(currentLease: HeldLease): void {
+    if (currentLease.token !== heldToken) loadBudget = createLoadBudget(now())
+    heldToken = currentLease.token
+    loadBudget = refillBudget(loadBudget, options.loadsPerMinute, now())
   }
 
-  async function round(): Promise<void> {
+  async function runRound(): Promise<void> {
     const targets = Object.values(configuration().targets)
     if (!targets.some(({ desired }) => desired) || !isCandidate()) return
-    const held = await lease.keep()
-    if (!held) return
-    follow(held)
+    const currentLease = await leaseHolder.acquireOrRenew()
+    if (!currentLease) return
+    refillLoadBudget(currentLease)
     const actions = planOrders({
-      targets: await observe(),
-      lease: held,
-      loads: budget.available,
+      targets: await observeTargets(),
+      lease: currentLease,
+      loads: loadBudget.available,
       nowMs: now(),
     })
-    const changing = actions.filter(
+    const executable = actions.filter(
       ({ kind }) => kind !== OrderActionKind.AwaitBudget,
     )
-    drain(changing)
-    for (const action of changing)
-      if (action.kind === OrderActionKind.Send) start(action)
+    updateDraining(executable)
+    for (const action of executable)
+      if (action.kind === OrderActionKind.Send) startOrder(action)
   }
 
-  return createLoop(round, ORDER_ROUND_MS, (error) => {
+  return createLoop(runRound, ORDER_INTERVAL_MS, (error) => {
     logger.error(error)
   })
 }
--- a/packages/daemon/src/node/orders/createOrders.ts
+++ b/packages/daemon/src/node/orders/createOrders.ts
@@ -4,10 +4,10 @@
 import type { VmListPoller } from '../membership/createVmListPoller.js'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import type { Loop } from '../tasks/createLoop.js'
-import { createLeaseKeeper } from './createLeaseKeeper.js'
+import { createLeaseHolder } from './createLeaseHolder.js'
 import { createOrderTask, type OrderTaskOptions } from './createOrderTask.js'
 
-/** The parts of a daemon that orders work with. */
+/** Options for {@link createOrders}. */
 export interface OrdersOptions extends Pick<
   OrderTaskOptions,
   'logger' | 'now' | 'ownInFlight' | 'peers'
@@ -19,11 +19,11 @@
   readonly vmList: VmListPoller
 }
 
-/** Starts the orders of one router. */
+/** Starts sending orders to engines while this router holds the order lease. */
 export function createOrders(options: OrdersOptions): Loop {
   const { settings, incarnation, log, tailer, vmList, ...rest } = options
   const router = settings.router.id
-  const lease = createLeaseKeeper({
+  const leaseHolder = createLeaseHolder({
     log,
     name: ORDER_LEASE,
     holder: `${router}/${incarnation}`,
@@ -34,9 +34,9 @@
   return createOrderTask({
     ...rest,
     router,
-    lease,
+    leaseHolder,
     configuration: () => tailer.state.configuration,
-    announce: (targets) => {
+    announceDraining: (targets) => {
       vmList.applyReportedDepartures(
         Object.fromEntries(targets.map((id) => [id, 0])),
       )
--- a/packages/daemon/src/node/orders/engineClient.ts
+++ b/packages/daemon/src/node/orders/engineClient.ts
@@ -7,33 +7,35 @@
 
 const ORDER_PATH = '/orders/state'
 
-/** Reads what an engine holds; undefined when it does not answer. */
+/** Reads an engine's state; undefined when it does not respond. */
 export async function readEngineState(
   address: string,
 ): Promise<EngineState | undefined> {
-  const reply = await requestJson({
+  const response = await requestJson({
     method: 'GET',
     url: `http://${address}${ORDER_PATH}`,
     timeoutMs: ORDER_READ_TIMEOUT_MS,
   })
-  const parsed = engineStateSchema.safeParse(reply.isOk() && reply.value.body)
+  const parsed = engineStateSchema.safeParse(
+    response.isOk() && response.value.body,
+  )
   return parsed.success ? parsed.data : undefined
 }
 
-/** Reads an engine's requests in flight; undefined when it does not answer. */
+/** Reads an engine's requests in flight; undefined when it does not respond. */
 export async function readEngineLoad(
   address: string,
 ): Promise<number | undefined> {
-  const reply = await requestJson({
+  const response = await requestJson({
     method: 'GET',
     url: `http://${address}/load`,
     timeoutMs: ORDER_READ_TIMEOUT_MS,
   })
-  const parsed = loadSchema.safeParse(reply.isOk() && reply.value.body)
+  const parsed = loadSchema.safeParse(response.isOk() && response.value.body)
   return parsed.success ? parsed.data.inFlight : undefined
 }
 
-/** Sends the whole state; whether it holds is only known by reading it. */
+/** Sends the whole state; only reading it back shows whether it was applied. */
 export async function sendEngineState(
   address: string,
   token: number,
