--- a/packages/daemon/src/node/membership/__tests__/leavingTarget.test.ts
+++ b/packages/daemon/src/node/membership/__tests__/leavingTarget.test.ts
@@ -3,17 +3,16 @@
 import { formatAddress } from '@auburnbay/http-utils'
 import { createVmList } from '@auburnbay/stand-ins'
 import { callChat } from '../../__tests__/callApi.js'
-import { startFleet } from '../../__tests__/startFleet.js'
-import { eventually } from '../../__tests__/startFleet.js'
+import { eventually, startFleet } from '../../__tests__/startFleet.js'
 
-describe('a target that leaves', () => {
-  it('gets no new work from a router whose own list lags', async () => {
-    const lagging = await createVmList()
+describe('a departing target', () => {
+  it('gets no new requests from a router whose VM list is outdated', async () => {
+    const laggingList = await createVmList()
     const fleet = await startFleet({
       routers: 2,
       engines: 2,
       settingsOf: (index) =>
-        index === 1 ? { vmList: { url: lagging.url, pollMs: 50 } } : {},
+        index === 1 ? { vmList: { url: laggingList.url, pollMs: 50 } } : {},
     })
     try {
       const targets = fleet.engines.map((engine, index) => ({
@@ -24,21 +23,21 @@
         state: 'live' as const,
       }))
       const routers = [...fleet.vmList.vms]
-      lagging.vms = [...routers, ...targets]
+      laggingList.vms = [...routers, ...targets]
       const [first, second] = targets
       assert.ok(first && second)
       fleet.vmList.vms = [...routers, { ...first, state: 'leaving' }, second]
-      const isSpared = async (): Promise<boolean> => {
-        const before = fleet.engines[0]?.runs.length
+      const getsNoRequests = async (): Promise<boolean> => {
+        const runsBefore = fleet.engines[0]?.runs.length
         for (let chat = 0; chat < 8; chat += 1)
           await callChat(fleet.callerUrl(1), fleet.callerKey, `chat-${chat}`)
-        return fleet.engines[0]?.runs.length === before
+        return fleet.engines[0]?.runs.length === runsBefore
       }
-      await eventually(isSpared)
-      assert.ok(await isSpared())
+      await eventually(getsNoRequests)
+      assert.ok(await getsNoRequests())
     } finally {
       await fleet.stop()
-      await lagging.close()
+      await laggingList.close()
     }
   })
 })
--- a/packages/daemon/src/node/membership/createMembership.ts
+++ b/packages/daemon/src/node/membership/createMembership.ts
@@ -11,7 +11,7 @@
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import { createLoop } from '../tasks/createLoop.js'
 
-/** A router as this router last heard of it. */
+/** Last reported state of another router. */
 export interface PeerStatus {
   readonly id: string
   readonly address?: string
@@ -20,82 +20,86 @@
   readonly ageMs: number
 }
 
-/** Knows which routers are alive. */
+/** Tracks which routers are alive. */
 export interface Membership {
-  /** Peers heard of within the time limit. */
+  /** Peers whose last heartbeat is within the timeout. */
   livePeers(): PeerStatus[]
-  /** Takes in a peer's heartbeat. */
+  /** Records a peer's heartbeat. */
   recordHeartbeat(heartbeat: Heartbeat): void
   stop(): Promise<void>
 }
 
-/** What a membership task works with. */
+/** Options for {@link createMembership}. */
 export interface MembershipOptions {
   readonly settings: ResolvedSettings
   readonly client: PeerClient
   readonly vms: () => readonly VmEntry[]
   readonly self: () => Heartbeat
-  /** Takes in the departures that a peer knows of. */
+  /** Called with reported departures: milliseconds since, by VM id. */
   readonly onReportedDepartures: (
     ages: Readonly<Record<string, number>>,
   ) => void
   readonly logger: ConsolaInstance
+  /** Milliseconds of the monotonic clock. */
   readonly now: () => number
 }
 
-/** Share of the heartbeat interval within which a peer need not be asked. */
-const HEARD_LATELY = 0.75
+/** Peers with a heartbeat within this fraction of the interval are not called. */
+const RECENT_HEARTBEAT_FRACTION = 0.75
 
 /** Starts exchanging heartbeats with the routers of the VM list. */
 export function createMembership(options: MembershipOptions): Membership {
   const { settings, client, vms, self, now } = options
-  const { id: own, dataCentre } = settings.router
+  const { id: ownId, dataCentre } = settings.router
   const liveness = createPeerLiveness<Heartbeat>(settings.peers.timeoutMs)
-  const calling = new Set<string>()
-  const heardAtMs = new Map<string, number>()
+  const pendingCalls = new Set<string>()
+  const lastHeartbeatAtMs = new Map<string, number>()
 
-  function heard(heartbeat: Heartbeat): void {
-    if (heartbeat.router === own) return
-    heardAtMs.set(heartbeat.router, now())
+  function recordHeartbeat(heartbeat: Heartbeat): void {
+    if (heartbeat.router === ownId) return
+    lastHeartbeatAtMs.set(heartbeat.router, now())
     const { router, incarnation, leaving } = heartbeat
     liveness.recordHeartbeat(router, incarnation, heartbeat, now())
     options.onReportedDepartures(leaving ?? {})
   }
 
-  function routers(): VmEntry[] {
+  function liveRouters(): VmEntry[] {
     return vms().filter(
       (vm) => vm.role === VmRole.Router && vm.state === MemberState.Live,
     )
   }
 
-  // An exchange informs both sides, so one of the two begins it.
-  function heardLately(id: string): boolean {
-    const atMs = heardAtMs.get(id) ?? -Infinity
-    return now() - atMs < HEARD_LATELY * settings.peers.heartbeatMs
+  // An exchange informs both sides, so only one of them needs to start it.
+  function hasRecentHeartbeat(id: string): boolean {
+    const atMs = lastHeartbeatAtMs.get(id) ?? -Infinity
+    return now() - atMs < RECENT_HEARTBEAT_FRACTION * settings.peers.heartbeatMs
   }
 
-  // A silent peer must not delay the heartbeats to the others.
-  async function call(vm: VmEntry): Promise<void> {
-    if (calling.has(vm.id)) return
-    calling.add(vm.id)
-    await client.heartbeat(vm.address, self()).then(heard, () => undefined)
-    calling.delete(vm.id)
+  // Not awaited: an unresponsive peer must not delay heartbeats to the others.
+  async function exchangeHeartbeats(vm: VmEntry): Promise<void> {
+    if (pendingCalls.has(vm.id)) return
+    pendingCalls.add(vm.id)
+    await client
+      .heartbeat(vm.address, self())
+      .then(recordHeartbeat, () => undefined)
+    pendingCalls.delete(vm.id)
   }
 
-  function reportDuplicates(): void {
+  function warnOfDuplicates(): void {
     for (const id of liveness.findDuplicates(now()))
       options.logger.warn(
-        `Two routers call themselves ${id}; the newer one counts. Give each its own id.`,
+        `Two routers use the id ${id}; the newer one takes precedence. Give each router its own id.`,
       )
   }
 
-  function round(): void {
+  function runRound(): void {
     liveness.tick(now())
-    reportDuplicates()
-    const listed = routers()
-    const chosen = new Set(chooseDigestPeers({ id: own, dataCentre }, listed))
+    warnOfDuplicates()
+    const listed = liveRouters()
+    const chosen = new Set(chooseDigestPeers({ id: ownId, dataCentre }, listed))
     for (const vm of listed)
-      if (chosen.has(vm.id) && !heardLately(vm.id)) void call(vm)
+      if (chosen.has(vm.id) && !hasRecentHeartbeat(vm.id))
+        void exchangeHeartbeats(vm)
   }
 
   function livePeers(): PeerStatus[] {
@@ -107,11 +111,11 @@
 
   const loop = createLoop(
     () => {
-      round()
+      runRound()
       return Promise.resolve()
     },
     settings.peers.heartbeatMs,
     () => undefined,
   )
-  return { livePeers, recordHeartbeat: heard, stop: () => loop.stop() }
+  return { livePeers, recordHeartbeat, stop: () => loop.stop() }
 }
--- a/packages/daemon/src/node/membership/createVmListPoller.ts
+++ b/packages/daemon/src/node/membership/createVmListPoller.ts
@@ -15,86 +15,91 @@
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import { createLoop } from '../tasks/createLoop.js'
 
-/** Knows the VMs, from the platform's list and from what peers have seen. */
+/** Tracks the VMs by the platform's list and the departures peers report. */
 export interface VmListPoller {
   readonly vms: readonly VmEntry[]
-  /** Age in milliseconds of each departure that this router knows of. */
+  /** Milliseconds since each known departure, by VM id. */
   departureAges(): Record<string, number>
-  /** Takes in the departures that a peer knows of. */
+  /** Applies departures that a peer reports: milliseconds since, by VM id. */
   readonly applyReportedDepartures: (
     ages: Readonly<Record<string, number>>,
   ) => void
   stop(): Promise<void>
 }
 
-/** What polling the VM list works with. */
+/** Options for {@link createVmListPoller}. */
 export interface VmListPollerOptions {
   readonly settings: ResolvedSettings['vmList']
   readonly logger: ConsolaInstance
   readonly metrics: Metrics
+  /** Milliseconds of the monotonic clock. */
   readonly now: () => number
-  /** Agent of the calls. @default Node's own */
+  /** HTTP agent of the polls. @default Node's global agent */
   readonly agent?: Agent
 }
 
-/** Milliseconds for which a computed view is shown again. */
-const SHOWN_MS = 100
+/** Milliseconds for which the computed VMs are reused. */
+const VM_CACHE_MS = 100
 
 /** Starts polling the VM list. */
 export function createVmListPoller(options: VmListPollerOptions): VmListPoller {
   const { settings, logger, metrics, now, agent } = options
-  let view = createMembershipView()
-  let shown: readonly VmEntry[] = []
-  let shownAtMs = -Infinity
-  let answered = true
+  let membershipView = createMembershipView()
+  let cachedVms: readonly VmEntry[] = []
+  let cachedAtMs = -Infinity
+  let isAvailable = true
 
-  function take(list: readonly VmEntry[]): void {
-    const before = view.held.length
-    view = applyVmList(view, list, now())
-    shownAtMs = -Infinity
-    metrics.gauge('membership.held_vms', view.held.length)
-    if (view.held.length > before)
+  function applyList(list: readonly VmEntry[]): void {
+    const heldBefore = membershipView.held.length
+    membershipView = applyVmList(membershipView, list, now())
+    cachedAtMs = -Infinity
+    metrics.gauge('membership.held_vms', membershipView.held.length)
+    if (membershipView.held.length > heldBefore)
       logger.error(
-        `The VM list misses ${view.held.length} VMs at once; keeping them. Check the list.`,
+        `The VM list dropped ${membershipView.held.length} VMs at once; keeping them. Check the list.`,
       )
   }
 
-  async function round(): Promise<void> {
-    const reply = await requestJson({
+  async function poll(): Promise<void> {
+    const response = await requestJson({
       method: 'GET',
       url: `${settings.url}/vms`,
       timeoutMs: VM_LIST_TIMEOUT_MS,
       agent,
     })
-    const parsed = vmListSchema.safeParse(reply.isOk() && reply.value.body)
-    if (parsed.success) take(parsed.data)
-    else if (answered)
-      logger.warn('The VM list did not answer; keeping the last one.')
-    answered = parsed.success
-    metrics.gauge('membership.list_answers', answered ? 1 : 0)
+    const parsed = vmListSchema.safeParse(
+      response.isOk() && response.value.body,
+    )
+    if (parsed.success) applyList(parsed.data)
+    else if (isAvailable)
+      logger.warn(
+        'The VM list service did not respond with a valid list; keeping the last one.',
+      )
+    isAvailable = parsed.success
+    metrics.gauge('membership.list_answers', isAvailable ? 1 : 0)
   }
 
-  // The view changes with time as well, but is asked for at every request.
-  function show(): readonly VmEntry[] {
+  // The VMs also change with time; cached because every request reads them.
+  function resolveVms(): readonly VmEntry[] {
     const nowMs = now()
-    if (nowMs - shownAtMs < SHOWN_MS) return shown
-    shown = currentVms(view, nowMs)
-    shownAtMs = nowMs
-    return shown
+    if (nowMs - cachedAtMs < VM_CACHE_MS) return cachedVms
+    cachedVms = currentVms(membershipView, nowMs)
+    cachedAtMs = nowMs
+    return cachedVms
   }
 
-  const loop = createLoop(round, settings.pollMs, (error) => {
+  const loop = createLoop(poll, settings.pollMs, (error) => {
     logger.error(error)
   })
   return {
     get vms() {
-      return show()
+      return resolveVms()
     },
-    departureAges: () => departureAges(view, now()),
+    departureAges: () => departureAges(membershipView, now()),
     applyReportedDepartures: (ages) => {
       if (Object.keys(ages).length === 0) return
-      view = applyReportedDepartures(view, ages, now())
-      shownAtMs = -Infinity
+      membershipView = applyReportedDepartures(membershipView, ages, now())
+      cachedAtMs = -Infinity
     },
     stop: () => loop.stop(),
   }
