--- a/packages/daemon/src/node/peers/createPeerClient.ts
+++ b/packages/daemon/src/node/peers/createPeerClient.ts
@@ -19,21 +19,21 @@
 import { PEER_SECRET_HEADER } from './peerSecret.js'
 import { wireCodec } from './wireCodec.js'
 
-/** Calls other routers over kept connections. */
+/** Calls other routers over keep-alive connections. */
 export interface PeerClient {
-  /** Bytes of all calls so far. */
+  /** Bytes sent and received by all calls so far. */
   readonly traffic: TrafficCount
-  /** Sends a heartbeat; rejects when the peer does not answer in time. */
+  /** Sends a heartbeat and returns the peer's; rejects on a timeout or failure. */
   heartbeat(address: string, heartbeat: Heartbeat): Promise<Heartbeat>
   /** Fetches records or a snapshot; rejects when the peer has none. */
   configurationSince(
     address: string,
     since: ConfigurationTransferRequest,
   ): Promise<ConfigurationTransfer>
-  /** Asks a group's home for places; rejects when it does not answer. */
-  grant(address: string, ask: GrantRequest): Promise<GrantResponse>
-  /** Asks for a router's counts; rejects when it does not answer. */
-  collect(address: string, ask: CollectRequest): Promise<CollectResponse>
+  /** Requests slots from a group's coordinator; rejects on a timeout or failure. */
+  grant(address: string, request: GrantRequest): Promise<GrantResponse>
+  /** Requests a router's in-flight counts; rejects on a timeout or failure. */
+  collect(address: string, request: CollectRequest): Promise<CollectResponse>
   close(): void
 }
 
@@ -46,9 +46,9 @@
   const traffic: TrafficCount = { sentBytes: 0, receivedBytes: 0 }
   const clients = new Map<string, TRPCClient<PeerApi>>()
 
-  function clientOf(address: string): TRPCClient<PeerApi> {
-    const known = clients.get(address)
-    if (known) return known
+  function getClient(address: string): TRPCClient<PeerApi> {
+    const existing = clients.get(address)
+    if (existing) return existing
     const created = createTRPCClient<PeerApi>({
       links: [
         httpBatchLink({
@@ -63,21 +63,26 @@
     return created
   }
 
-  const limited = () => ({ signal: AbortSignal.timeout(PEER_CALL_TIMEOUT_MS) })
+  const createCallOptions = () => ({
+    signal: AbortSignal.timeout(PEER_CALL_TIMEOUT_MS),
+  })
 
   return {
     traffic,
     heartbeat: (address, heartbeat) =>
-      clientOf(address).heartbeat.mutate(heartbeat, limited()),
+      getClient(address).heartbeat.mutate(heartbeat, createCallOptions()),
     configurationSince: async (address, since) => {
       const signal = AbortSignal.timeout(PEER_FETCH_TIMEOUT_MS)
-      const answer = await clientOf(address).configurationSince.mutate(since, {
-        signal,
-      })
-      return configurationTransferSchema.parse(answer)
+      const response = await getClient(address).configurationSince.mutate(
+        since,
+        { signal },
+      )
+      return configurationTransferSchema.parse(response)
     },
-    grant: (address, ask) => clientOf(address).grant.mutate(ask, limited()),
-    collect: (address, ask) => clientOf(address).collect.mutate(ask, limited()),
+    grant: (address, request) =>
+      getClient(address).grant.mutate(request, createCallOptions()),
+    collect: (address, request) =>
+      getClient(address).collect.mutate(request, createCallOptions()),
     close: () => {
       agent.destroy()
     },
--- a/packages/daemon/src/node/peers/createPeerServer.ts
+++ b/packages/daemon/src/node/peers/createPeerServer.ts
@@ -13,17 +13,17 @@
 import { createPeerApi, type PeerHandlers } from './peerApi.js'
 import { PEER_SECRET_HEADER, secretsMatch } from './peerSecret.js'
 
-/** The listener for calls of other routers. */
+/** Listener for calls from other routers. */
 export interface PeerServer {
   readonly address: ListenAddress
   stop(): Promise<void>
 }
 
-/** Starts listening for calls of other routers. */
+/** Starts listening for calls from other routers. */
 export async function createPeerServer(
   settings: ResolvedSettings,
   handlers: PeerHandlers,
-  /** Without it: plain HTTP, and no traffic is counted. */
+  /** Without it, the server uses plain HTTP and counts no traffic. */
   network?: Pick<Network, 'certificates' | 'traffic'>,
 ): Promise<PeerServer> {
   const handler = createHTTPHandler({
@@ -37,7 +37,7 @@
   })
   const { tls } = settings.listen.peers
   const serve: RequestListener = (req, res) => {
-    // HTTP/1.1 keeps connections by default; routers need no date.
+    // Peers need neither header: HTTP/1.1 keeps connections alive by default.
     res.sendDate = false
     res.removeHeader('connection')
     handler(req, res)
--- a/packages/daemon/src/node/peers/grantSchemas.ts
+++ b/packages/daemon/src/node/peers/grantSchemas.ts
@@ -3,14 +3,14 @@
 const counts = z.array(z.int().min(0)).readonly()
 const index = z.int().min(0)
 
-const placeWantSchema = z.strictObject({
+const placementRequestSchema = z.strictObject({
   key: z.string(),
   hint: index.optional(),
   exclude: z.array(index).readonly(),
 })
 
-/** Checks a request for places. */
-export const grantAskSchema = z.strictObject({
+/** Validates a request for slots. */
+export const grantRequestSchema = z.strictObject({
   group: z.string(),
   membersHash: z.int(),
   router: z.string(),
@@ -20,11 +20,11 @@
   used: counts,
   credits: counts,
   finished: z.int().min(0),
-  wants: z.array(placeWantSchema).readonly(),
+  wants: z.array(placementRequestSchema).readonly(),
 })
 
-/** Checks a new home's request for counts. */
-export const collectAskSchema = z.strictObject({
+/** Validates a new coordinator's request for in-flight counts. */
+export const collectRequestSchema = z.strictObject({
   group: z.string(),
   membersHash: z.int(),
   home: z.string(),
--- a/packages/daemon/src/node/peers/peerApi.ts
+++ b/packages/daemon/src/node/peers/peerApi.ts
@@ -10,30 +10,30 @@
   GrantRequest,
   GrantResponse,
 } from '@auburnbay/core'
-import { collectAskSchema, grantAskSchema } from './grantSchemas.js'
+import { collectRequestSchema, grantRequestSchema } from './grantSchemas.js'
 import { type Heartbeat, heartbeatSchema } from './heartbeat.js'
 import { wireCodec } from './wireCodec.js'
 
-/** What a call between routers knows of its sender. */
+/** Context of a call from another router. */
 export interface PeerContext {
+  /** Whether the caller sent the shared secret. */
   readonly authenticated: boolean
 }
 
-/** What a router does with the calls of its peers. */
+/** Handlers of the calls from peers. */
 export interface PeerHandlers {
   onHeartbeat(heartbeat: Heartbeat): Heartbeat
-  /** Returns what a router that is behind needs; undefined without a log. */
+  /** Returns records or a snapshot that a peer lacks; undefined without a log. */
   onConfigurationSince(
     since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
-  /** Takes a request for places as the home of its group. */
-  onGrant(ask: GrantRequest): GrantResponse
-  /** Tells a new home what is in flight from here. */
-  onCollect(ask: CollectRequest): CollectResponse
+  /** Handles a request for slots as the coordinator of its group. */
+  onGrant(request: GrantRequest): GrantResponse
+  /** Returns the in-flight counts of this router to a new coordinator. */
+  onCollect(request: CollectRequest): CollectResponse
 }
 
-/** Creates the procedures that routers offer each other. */
-
+/** Creates the tRPC procedures that routers call on each other. */
 export function createPeerApi(handlers: PeerHandlers) {
   const t = initTRPC.context<PeerContext>().create({ transformer: wireCodec })
   const procedure = t.procedure.use(({ ctx, next }) => {
@@ -48,13 +48,13 @@
       .input(configurationTransferRequestSchema)
       .mutation(({ input }) => handlers.onConfigurationSince(input)),
     grant: procedure
-      .input(grantAskSchema)
+      .input(grantRequestSchema)
       .mutation(({ input }) => handlers.onGrant(input)),
     collect: procedure
-      .input(collectAskSchema)
+      .input(collectRequestSchema)
       .mutation(({ input }) => handlers.onCollect(input)),
   })
 }
 
-/** Type of the procedures, for the client. */
+/** Type of the tRPC router, for the client. */
 export type PeerApi = ReturnType<typeof createPeerApi>
--- a/packages/daemon/src/node/peers/peerSecret.ts
+++ b/packages/daemon/src/node/peers/peerSecret.ts
@@ -3,6 +3,7 @@
 /** Header that carries the routers' shared secret. */
 export const PEER_SECRET_HEADER = 'x-auburnbay-peer'
 
+// Hashed because `timingSafeEqual` requires inputs of equal length.
 function digest(text: string): Buffer {
   return createHash('sha256').update(text).digest()
 }
--- a/packages/daemon/src/node/peers/wireCodec.ts
+++ b/packages/daemon/src/node/peers/wireCodec.ts
@@ -1,6 +1,6 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
 
-const names = [
+const dictionaryNames = [
   'group',
   'membersHash',
   'router',
@@ -27,28 +27,35 @@
   'customers',
   'started',
 ]
-const sample =
+const dictionarySample =
   '{"status":"granted","epoch":,"granted":[],"loans":[0,0,0,0,0,0,0,0,0,0,0,0]}' +
   '{"group":"","membersHash":,"router":"","incarnation":"-0000-4000-8000-","sequence":,"epoch":,"used":[0,0,0,0],"credits":[0,0,0,0,0,0,0,0],"finished":0,"wants":[{"key":"","hint":0,"exclude":[]}]}' +
   '{"router":"","incarnation":"","dataCentre":"","configurationVersion":,"stopping":false,"digest":{"targets":{},"customers":{},"started":{}}}'
 
-/** Text that every message resembles; both ends must have the same. */
-const dictionary = Buffer.from(`${names.join('":')}${sample}`)
-const options = { dictionary, windowBits: 12, memLevel: 3 }
+/** Deflate dictionary of typical text; both ends need the same bytes. */
+const dictionary = Buffer.from(
+  `${dictionaryNames.join('":')}${dictionarySample}`,
+)
+const deflateOptions = { dictionary, windowBits: 12, memLevel: 3 }
 const MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 
-/** Packs the messages between routers: JSON, deflated with a dictionary. */
+/** Encodes peer messages: JSON, deflated with the dictionary, as base64. */
 export const wireCodec = {
   serialize(value: unknown): string {
     if (value === undefined) return ''
-    return deflateRawSync(JSON.stringify(value), options).toString('base64')
+    return deflateRawSync(JSON.stringify(value), deflateOptions).toString(
+      'base64',
+    )
   },
   deserialize(text: unknown): unknown {
     if (typeof text !== 'string' || text === '') return undefined
-    const packed = Buffer.from(text, 'base64')
-    const limits = { ...options, maxOutputLength: MAX_MESSAGE_BYTES }
+    const deflated = Buffer.from(text, 'base64')
+    const inflateOptions = {
+      ...deflateOptions,
+      maxOutputLength: MAX_MESSAGE_BYTES,
+    }
     return JSON.parse(
-      inflateRawSync(packed, limits).toString('utf8'),
+      inflateRawSync(deflated, inflateOptions).toString('utf8'),
     ) as unknown
   },
 }
