--- a/packages/daemon/src/node/callers/__tests__/slowCaller.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/slowCaller.test.ts
@@ -4,20 +4,20 @@
 import { after, before, describe, it } from 'node:test'
 import { type Fleet, startFleet } from '../../__tests__/startFleet.js'
 
-async function answerTo(url: string, text: string): Promise<string> {
+async function sendText(url: string, text: string): Promise<string> {
   const { hostname, port } = new URL(url)
   const socket = connect(Number(port), hostname)
-  let answer = ''
+  let received = ''
   socket.setEncoding('utf8')
   socket.on('data', (chunk: string) => {
-    answer += chunk
+    received += chunk
   })
   socket.write(text)
   await once(socket, 'close')
-  return answer
+  return received
 }
 
-describe('a slow caller', () => {
+describe('a caller that sends too slowly', () => {
   let fleet: Fleet
 
   before(async () => {
@@ -27,14 +27,14 @@
 
   after(() => fleet.stop())
 
-  it('is told that unfinished headers were not run', async () => {
+  it('gets 408 and not-run for unfinished headers', async () => {
     const head = 'POST /v1/chat/completions HTTP/1.1\r\nhost: router\r\n'
-    const answer = await answerTo(fleet.callerUrl(), head)
-    assert.match(answer, /^HTTP\/1\.1 408 /)
-    assert.match(answer, /x-auburnbay-verdict: not-run/)
+    const response = await sendText(fleet.callerUrl(), head)
+    assert.match(response, /^HTTP\/1\.1 408 /)
+    assert.match(response, /x-auburnbay-verdict: not-run/)
   })
 
-  it('is told that an unfinished body was not run', async () => {
+  it('gets 408 and not-run for an unfinished body', async () => {
     const head = [
       'POST /v1/chat/completions HTTP/1.1',
       'host: router',
@@ -42,9 +42,9 @@
       'content-length: 100',
     ]
     const text = `${head.join('\r\n')}\r\n\r\n{"model":`
-    const answer = await answerTo(fleet.callerUrl(), text)
-    assert.match(answer, /^HTTP\/1\.1 408 /)
-    assert.match(answer, /x-auburnbay-verdict: not-run/)
+    const response = await sendText(fleet.callerUrl(), text)
+    assert.match(response, /^HTTP\/1\.1 408 /)
+    assert.match(response, /x-auburnbay-verdict: not-run/)
     assert.equal(fleet.engines[0]?.runs.length, 0)
   })
 })
--- a/packages/daemon/src/node/callers/__tests__/verdicts.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/verdicts.test.ts
@@ -7,7 +7,7 @@
 import { callApi, type CallerResponse } from '../../__tests__/callApi.js'
 import { type Fleet, startFleet } from '../../__tests__/startFleet.js'
 
-describe('the verdict on a call to a plain service', () => {
+describe('a call to a plain service', () => {
   let fleet: Fleet
 
   before(async () => {
@@ -54,7 +54,7 @@
       runs: 0,
     },
     {
-      name: 'reset before it was read',
+      name: 'reset before the target read it',
       faults: { resetBefore: true },
       verdict: 'may-have-run',
       runs: 0,
@@ -66,46 +66,46 @@
       runs: 1,
     },
     {
-      name: 'without an answer',
+      name: 'left without a response',
       faults: { silent: true },
       verdict: 'may-have-run',
       runs: 1,
     },
     {
-      name: 'answered with the answer of another',
+      name: 'given the response to another request',
       faults: { crossAnswers: true },
       verdict: 'may-have-run',
       runs: 1,
     },
   ]
   for (const { name, faults, verdict, runs } of cases) {
-    it(`is ${verdict} for a non-idempotent call ${name}`, async () => {
+    it(`gets the verdict ${verdict} when non-idempotent and ${name}`, async () => {
       const before = fleet.plain.calls.length
-      for (let tries = 0; tries < 4; tries += 1)
+      for (let attempts = 0; attempts < 4; attempts += 1)
         fleet.plain.queuedFaults.push(faults)
-      const answer = await call('POST')
-      assert.equal(answer.headers[VERDICT_HEADER], verdict)
+      const response = await call('POST')
+      assert.equal(response.headers[VERDICT_HEADER], verdict)
       assert.equal(fleet.plain.calls.length - before, runs)
-      assert.ok(answer.status >= 500)
+      assert.ok(response.status >= 500)
     })
   }
 
-  it('is ran for a call that a kept connection could have lost', async () => {
+  it('runs once when non-idempotent and the kept connections are half-open', async () => {
     const before = fleet.plain.calls.length
     assert.equal((await call('GET')).status, 200)
     fleet.plain.stallConnections()
-    const answer = await call('POST')
-    assert.equal(answer.status, 200)
+    const response = await call('POST')
+    assert.equal(response.status, 200)
     assert.equal(fleet.plain.calls.length - before, 2)
   })
 
-  it('shows an idempotent call only the delay of a silent connection', async () => {
+  it('succeeds when idempotent and the kept connections are half-open', async () => {
     assert.equal((await call('GET')).status, 200)
     fleet.plain.stallConnections()
     assert.equal((await call('GET')).status, 200)
   })
 
-  it('does not vouch for the end of an answer without a length', async () => {
+  it('gets no complete response when one without a length is truncated', async () => {
     const server = createServer((socket) => {
       socket.once('data', () => {
         socket.write('HTTP/1.0 200 OK\r\ncontent-type: text/plain\r\n\r\nhalf')
@@ -118,14 +118,14 @@
     })
     const { port } = server.address() as { port: number }
     await fleet.patch(addService('old', `127.0.0.1:${port}`), 1)
-    const whole = await callApi({
+    const complete = await callApi({
       url: `${fleet.callerUrl()}/v1/services/old/x`,
       headers: { authorization: `Bearer ${fleet.callerKey}` },
     }).then(
-      (answer) => answer.complete,
+      (response) => response.complete,
       () => false,
     )
     server.close()
-    assert.equal(whole, false)
+    assert.equal(complete, false)
   })
 })
--- a/packages/daemon/src/node/callers/createActiveCalls.ts
+++ b/packages/daemon/src/node/callers/createActiveCalls.ts
@@ -1,64 +1,64 @@
 import type { ServerResponse } from 'node:http'
 
-/** A caller's request that has not been answered in full. */
+/** A request whose response is not complete yet. */
 export interface ActiveCall {
-  /** Aborted once the caller has gone or the call is cut off. */
+  /** Aborted when the caller disconnects or by {@link ActiveCalls.abortAll}. */
   readonly signal: AbortSignal
 }
 
-/** Knows the requests under way. */
+/** Tracks the requests in flight. */
 export interface ActiveCalls {
   readonly count: number
-  /** Whether requests have been cut off. */
-  readonly cutting: boolean
-  /** Starts a call that lasts until its answer is sent or broken off. */
-  begin(res: ServerResponse): ActiveCall
-  /** Makes every answer from now on the last one of its connection. */
-  closeConnections(): void
-  /** Aborts every call and returns how many there were. */
-  cutOff(): number
-  /** Resolves once no call is under way. */
+  /** Whether {@link ActiveCalls.abortAll} has been called. */
+  readonly aborted: boolean
+  /** Adds a call, which ends when its response is finished or aborted. */
+  add(res: ServerResponse): ActiveCall
+  /** Closes each connection after its current or next response. */
+  disableKeepAlive(): void
+  /** Aborts all calls and returns their number. */
+  abortAll(): number
+  /** Resolves when no call is in flight. */
   drained(): Promise<void>
 }
 
-/** Creates an empty set of calls. */
+/** Creates an empty {@link ActiveCalls}. */
 export function createActiveCalls(): ActiveCalls {
   const active = new Map<ServerResponse, AbortController>()
-  const waiters = new Set<() => void>()
-  let closing = false
-  let cutting = false
+  const drainListeners = new Set<() => void>()
+  let keepAlive = true
+  let aborted = false
 
   function end(res: ServerResponse, controller: AbortController): void {
     if (!res.writableFinished) controller.abort()
     active.delete(res)
     if (active.size > 0) return
-    for (const wake of waiters) wake()
-    waiters.clear()
+    for (const resolve of drainListeners) resolve()
+    drainListeners.clear()
   }
 
   return {
     get count() {
       return active.size
     },
-    get cutting() {
-      return cutting
+    get aborted() {
+      return aborted
     },
-    begin: (res) => {
+    add: (res) => {
       const controller = new AbortController()
       active.set(res, controller)
-      if (closing) res.shouldKeepAlive = false
+      if (!keepAlive) res.shouldKeepAlive = false
       res.once('close', () => {
         end(res, controller)
       })
       return { signal: controller.signal }
     },
-    closeConnections: () => {
-      closing = true
+    disableKeepAlive: () => {
+      keepAlive = false
       for (const res of active.keys())
         if (!res.headersSent) res.shouldKeepAlive = false
     },
-    cutOff: () => {
-      cutting = true
+    abortAll: () => {
+      aborted = true
       for (const controller of active.values()) controller.abort()
       return active.size
     },
@@ -66,7 +66,7 @@
       active.size === 0
         ? Promise.resolve()
         : new Promise((resolve) => {
-            waiters.add(resolve)
+            drainListeners.add(resolve)
           }),
   }
 }
--- a/packages/daemon/src/node/callers/createAttempt.ts
+++ b/packages/daemon/src/node/callers/createAttempt.ts
@@ -8,66 +8,66 @@
 import { spanAttributes } from '../tracing/spanAttributes.js'
 import type { RoutedRequest } from './routedRequest.js'
 
-/** An answered attempt: the place it holds and the answer's head. */
+/** An attempt that got a response: the slot it holds and the response head. */
 export interface Attempt {
-  readonly placement: TargetSlot
-  readonly reply: TargetResponse
+  readonly slot: TargetSlot
+  readonly response: TargetResponse
 }
 
-/** Places a request on a target and sends it there once. */
-export type AttemptOnce = (
+/** Selects a target for a request and sends the request to it once. */
+export type SendAttempt = (
   request: RoutedRequest,
-  /** Targets not to choose; one that fails is added. */
+  /** Targets that must not be selected; a target that fails is added. */
   exclude: Set<string>,
   parent: Context,
-  /** Whether an earlier attempt has failed. */
-  again: boolean,
+  /** Whether an earlier attempt of the same request failed. */
+  isRetry: boolean,
 ) => Promise<Result<Attempt, RequestFailure>>
 
-/** What one attempt works with. */
+/** Options for {@link createAttempt}. */
 export interface AttemptOptions {
   readonly routing: Pick<Routing, 'selectTarget'>
   readonly targets: TargetClient
   readonly tracing: Tracing
 }
 
-/** Creates the step that places and sends a request once. */
-export function createAttempt(options: AttemptOptions): AttemptOnce {
+/** Creates the function that makes a single attempt. */
+export function createAttempt(options: AttemptOptions): SendAttempt {
   const { routing, targets, tracing } = options
 
-  return async (request, exclude, parent, again) => {
-    const deciding = tracing.startSpan(
+  return async (request, exclude, parent, isRetry) => {
+    const decideSpan = tracing.startSpan(
       Hop.Decide,
       parent,
       spanAttributes(request),
     )
-    const placed = await routing.selectTarget(request, exclude)
-    if (placed.isOk())
-      deciding.setAttributes({ target: placed.value.target.id })
-    else deciding.setAttributes({ verdict: placed.error.verdict })
-    deciding.end(placed.isErr() ? placed.error.message : undefined)
-    if (placed.isErr()) return err(placed.error)
-    const placement = placed.value
-    const sending = tracing.startSpan(Hop.Target, parent, {
+    const selected = await routing.selectTarget(request, exclude)
+    if (selected.isOk())
+      decideSpan.setAttributes({ target: selected.value.target.id })
+    else decideSpan.setAttributes({ verdict: selected.error.verdict })
+    decideSpan.end(selected.isErr() ? selected.error.message : undefined)
+    if (selected.isErr()) return err(selected.error)
+    const slot = selected.value
+    const targetSpan = tracing.startSpan(Hop.Target, parent, {
       ...spanAttributes(request),
-      target: placement.target.id,
+      target: slot.target.id,
     })
-    const headers = tracing.inject(sending.context)
-    const sent = await targets.send(placement.target, request, headers, {
-      newConnection: again,
+    const headers = tracing.inject(targetSpan.context)
+    const sent = await targets.send(slot.target, request, headers, {
+      newConnection: isRetry,
     })
     if (sent.isErr()) {
-      placement.release()
-      // A connection that was kept too long says nothing against its target.
-      if (!sent.error.reusedConnection) exclude.add(placement.target.id)
-      sending.setAttributes({ verdict: sent.error.verdict })
-      sending.end(sent.error.message)
+      slot.release()
+      // A stale keep-alive connection says nothing about its target's health.
+      if (!sent.error.reusedConnection) exclude.add(slot.target.id)
+      targetSpan.setAttributes({ verdict: sent.error.verdict })
+      targetSpan.end(sent.error.message)
       return err(sent.error)
     }
-    sending.setAttributes({ verdict: Verdict.Ran })
+    targetSpan.setAttributes({ verdict: Verdict.Ran })
     sent.value.body.once('close', () => {
-      sending.end()
+      targetSpan.end()
     })
-    return ok({ placement, reply: sent.value })
+    return ok({ slot, response: sent.value })
   }
 }
--- a/packages/daemon/src/node/callers/createCallerServer.ts
+++ b/packages/daemon/src/node/callers/createCallerServer.ts
@@ -26,17 +26,17 @@
 import type { Dispatcher } from './createDispatcher.js'
 import { createFailure } from './createFailure.js'
 import { authenticate, parseRequest } from './parseRequest.js'
-import { refuseBrokenRequest } from './refuseBrokenRequest.js'
+import { rejectMalformedRequest } from './rejectMalformedRequest.js'
 import { sendFailure } from './sendFailure.js'
 
 const RETRY_AFTER_S = 1
 
-function cutOff({ verdict }: RequestFailure): RequestFailure {
+function toStoppingFailure({ verdict }: RequestFailure): RequestFailure {
   const message = 'this router stopped before the answer came'
   return createFailure(FailureCode.Stopping, message, verdict)
 }
 
-/** What the listener for callers works with. */
+/** Options for {@link createCallerServer}. */
 export interface CallerServerOptions {
   readonly settings: ResolvedSettings
   readonly configuration: () => Configuration
@@ -45,32 +45,32 @@
   readonly tracing: Tracing
   readonly metrics: Metrics
   readonly logger: ConsolaInstance
-  /** Plain HTTP without it. */
+  /** Provides TLS; plain HTTP is used when absent. */
   readonly certificates?: Certificates
 }
 
-/** The listener for callers. */
+/** HTTP server that accepts callers' requests. */
 export interface CallerServer {
   readonly address: ListenAddress
-  /** Requests under way. */
+  /** Number of requests in flight. */
   readonly inFlight: number
-  /** From now on answers end their connections. */
+  /** Closes each connection after its current or next response. */
   disableKeepAlive(): void
-  /** From now on new requests are refused as not run. */
+  /** Rejects new requests with the verdict `not-run`. */
   rejectNewRequests(): void
-  /** Resolves once no request is under way. */
+  /** Resolves when no request is in flight. */
   drained(): Promise<void>
-  /** Breaks every request off and returns how many there were. */
+  /** Aborts all requests in flight and returns their number. */
   abortAll(): number
-  /** Ends every connection and the listener. */
+  /** Closes the server and all its connections. */
   close(): Promise<void>
 }
 
-const plainServers: Pick<Certificates, 'createServer'> = {
+const httpServers: Pick<Certificates, 'createServer'> = {
   createServer: (options, listener) => createWebServer(options, listener),
 }
 
-/** Starts listening for callers. */
+/** Creates the caller server and starts to listen. */
 export async function createCallerServer(
   options: CallerServerOptions,
 ): Promise<CallerServer> {
@@ -80,7 +80,7 @@
     maxPerCustomer: settings.callers.maxConnectionsPerCustomer,
   })
   const calls = createActiveCalls()
-  let refusing = false
+  let rejecting = false
 
   async function route(
     req: IncomingMessage,
@@ -88,7 +88,7 @@
     signal: AbortSignal,
     span: HopSpan,
   ): Promise<void> {
-    if (refusing) {
+    if (rejecting) {
       const message = 'this router is stopping; try again at once'
       const failure = createFailure(
         FailureCode.Stopping,
@@ -106,7 +106,7 @@
       sendFailure(res, customer.error, true)
       return
     }
-    if (!connections.claim(customer.value, req.socket)) {
+    if (!connections.assign(customer.value, req.socket)) {
       const message = `more than ${settings.callers.maxConnectionsPerCustomer} connections are open; use those again`
       sendFailure(res, createFailure(FailureCode.LimitReached, message), true)
       return
@@ -133,7 +133,10 @@
     const result = await dispatcher.dispatch(parsed.value, res, span.context)
     if (result.isErr()) {
       span.setAttributes({ verdict: result.error.verdict })
-      sendFailure(res, calls.cutting ? cutOff(result.error) : result.error)
+      sendFailure(
+        res,
+        calls.aborted ? toStoppingFailure(result.error) : result.error,
+      )
     } else span.setAttributes({ verdict: Verdict.Ran })
   }
 
@@ -151,13 +154,13 @@
       return
     }
     const span = tracing.startSpan(Hop.Accept, tracing.extract(req.headers))
-    const { signal } = calls.begin(res)
+    const { signal } = calls.add(res)
     try {
       await route(req, res, signal, span)
       span.end()
     } catch (error) {
       span.end(String(error))
-      logger.debug(`A request failed: ${String(error)}.`)
+      logger.debug(`Request failed: ${String(error)}.`)
       if (res.headersSent) res.destroy()
       else {
         const message = 'the router failed; report the time to your operator'
@@ -169,7 +172,7 @@
     }
   }
 
-  const server = (options.certificates ?? plainServers).createServer(
+  const server = (options.certificates ?? httpServers).createServer(
     {
       maxHeaderSize: settings.callers.maxHeaderBytes,
       headersTimeout: settings.callers.headersTimeoutMs,
@@ -181,9 +184,9 @@
     },
     settings.listen.callers.tls,
   )
-  server.on('clientError', refuseBrokenRequest)
+  server.on('clientError', rejectMalformedRequest)
   server.on('connection', (socket: Socket) => {
-    if (!connections.open(socket)) socket.destroy()
+    if (!connections.add(socket)) socket.destroy()
   })
   const address = await listen(server, settings.listen.callers)
   return {
@@ -192,13 +195,13 @@
       return calls.count
     },
     rejectNewRequests: () => {
-      refusing = true
+      rejecting = true
     },
     disableKeepAlive: () => {
-      calls.closeConnections()
+      calls.disableKeepAlive()
     },
     drained: () => calls.drained(),
-    abortAll: () => calls.cutOff(),
+    abortAll: () => calls.abortAll(),
     close: async () => {
       const closed = closeServer(server)
       server.closeAllConnections()
--- a/packages/daemon/src/node/callers/createDispatcher.ts
+++ b/packages/daemon/src/node/callers/createDispatcher.ts
@@ -15,7 +15,7 @@
 import { limitToDeadline } from './limitToDeadline.js'
 import type { RoutedRequest } from './routedRequest.js'
 
-/** The parts that a request passes through. */
+/** Options for {@link createDispatcher}. */
 export interface DispatcherOptions {
   readonly admission: Pick<Admission, 'admit'>
   readonly claims: Claims
@@ -26,9 +26,9 @@
   readonly metrics: Metrics
 }
 
-/** Takes checked requests to targets and their answers back. */
+/** Sends validated requests to targets and relays the responses. */
 export interface Dispatcher {
-  /** Answers on `res`, or returns the failure when nothing was answered yet. */
+  /** Responds on `res`, or returns the failure while nothing has been written. */
   dispatch(
     request: RoutedRequest,
     res: ServerResponse,
@@ -36,26 +36,27 @@
   ): Promise<Result<void, RequestFailure>>
 }
 
-const MAX_TRIES = 3
+/** Attempts per request, including the first one. */
+const MAX_ATTEMPTS = 3
 
-/** Creates the path from the queue to the target and back. */
+/** Creates the dispatcher: admission, claim, attempts with retries, relay. */
 export function createDispatcher(options: DispatcherOptions): Dispatcher {
   const { admission, claims, tracing, retries } = options
-  const tryOnce = createAttempt(options)
+  const sendAttempt = createAttempt(options)
   const relay = createRelay(options)
 
-  async function attempt(
+  async function sendWithRetries(
     request: RoutedRequest,
     parent: Context,
   ): Promise<Result<Attempt, RequestFailure>> {
     const exclude = new Set<string>()
     let verdict = Verdict.NotRun
     retries.recordFirstAttempt(request)
-    for (let tries = 1; ; tries += 1) {
-      const result = await tryOnce(request, exclude, parent, tries > 1)
+    for (let attempts = 1; ; attempts += 1) {
+      const result = await sendAttempt(request, exclude, parent, attempts > 1)
       if (result.isOk()) return result
       verdict = combineVerdicts(verdict, result.error.verdict)
-      if (tries < MAX_TRIES && retries.tryAcquire(request, result.error))
+      if (attempts < MAX_ATTEMPTS && retries.tryAcquire(request, result.error))
         continue
       return err({ ...result.error, verdict })
     }
@@ -73,35 +74,35 @@
     return claimed
   }
 
-  async function dispatchInTime(
+  async function dispatchWithinDeadline(
     request: RoutedRequest,
     res: ServerResponse,
     parent: Context,
   ): Promise<Result<void, RequestFailure>> {
-    const queueing = tracing.startSpan(
+    const queueSpan = tracing.startSpan(
       Hop.Queue,
       parent,
       spanAttributes(request),
     )
     const admitted = await admission.admit(request)
     if (admitted.isErr())
-      queueing.setAttributes({ verdict: admitted.error.verdict })
-    queueing.end(admitted.isErr() ? admitted.error.message : undefined)
+      queueSpan.setAttributes({ verdict: admitted.error.verdict })
+    queueSpan.end(admitted.isErr() ? admitted.error.message : undefined)
     if (admitted.isErr()) return err(admitted.error)
     try {
       const claimed = await claimIfNeeded(request, parent)
       if (claimed.isErr()) return err(claimed.error)
-      const result = await attempt(request, parent)
+      const result = await sendWithRetries(request, parent)
       if (result.isErr()) {
         claimed.value?.recordFailure(result.error.verdict)
         return err(result.error)
       }
-      const { placement, reply } = result.value
-      claimed.value?.recordStatus(reply.status)
+      const { slot, response } = result.value
+      claimed.value?.recordStatus(response.status)
       try {
-        await relay({ request, res, placement, reply, parent })
+        await relay({ request, res, slot, response, parent })
       } finally {
-        placement.release()
+        slot.release()
       }
       return ok(undefined)
     } finally {
@@ -113,7 +114,7 @@
     async dispatch(original, res, parent) {
       const limited = limitToDeadline(original)
       try {
-        return await dispatchInTime(limited.request, res, parent)
+        return await dispatchWithinDeadline(limited.request, res, parent)
       } finally {
         limited.release()
       }
--- a/packages/daemon/src/node/callers/createFailure.ts
+++ b/packages/daemon/src/node/callers/createFailure.ts
@@ -1,6 +1,6 @@
 import { FailureCode, type RequestFailure, Verdict } from '@auburnbay/core'
 
-const STATUS: Readonly<Record<FailureCode, number>> = {
+const STATUS_BY_CODE: Readonly<Record<FailureCode, number>> = {
   [FailureCode.BadRequest]: 400,
   [FailureCode.MissingKey]: 401,
   [FailureCode.WrongKey]: 401,
@@ -23,12 +23,12 @@
   [FailureCode.Internal]: 500,
 }
 
-/** Creates a failure with the status that belongs to its code. */
+/** Creates a failure with the HTTP status of its code. */
 export function createFailure(
   code: FailureCode,
   message: string,
   verdict: Verdict = Verdict.NotRun,
   retryAfterS?: number,
 ): RequestFailure {
-  return { code, message, verdict, status: STATUS[code], retryAfterS }
+  return { code, message, verdict, status: STATUS_BY_CODE[code], retryAfterS }
 }
--- a/packages/daemon/src/node/callers/createRelay.ts
+++ b/packages/daemon/src/node/callers/createRelay.ts
@@ -9,51 +9,56 @@
 import type { TargetResponse } from '../targets/targetResponse.js'
 import { Hop, type Tracing } from '../tracing/createTracing.js'
 import { spanAttributes } from '../tracing/spanAttributes.js'
-import { endsWithConnection, relayBody } from './relayBody.js'
+import { isCloseDelimited, relayBody } from './relayBody.js'
 import { relayEventStream, type ResumeStream } from './relayEventStream.js'
 import type { RoutedRequest } from './routedRequest.js'
-import { writeReplyHead } from './writeReplyHead.js'
+import { writeResponseHead } from './writeResponseHead.js'
 
-/** An answer on its way from a target to a caller. */
+/** A target's response and the caller to relay it to. */
 export interface RelayCall {
   readonly request: RoutedRequest
   readonly res: ServerResponse
-  readonly placement: TargetSlot
-  readonly reply: TargetResponse
+  readonly slot: TargetSlot
+  readonly response: TargetResponse
   readonly parent: Context
 }
 
-/** What passing answers on works with. */
+/** Options for {@link createRelay}. */
 export interface RelayOptions {
   readonly targets: TargetClient
   readonly tracing: Tracing
   readonly metrics: Metrics
 }
 
-/** Passes an answer on; rejects after breaking it off visibly when it is cut. */
+/** Relays a response; if it is truncated, aborts it for the caller and rejects. */
 export type Relay = (call: RelayCall) => Promise<void>
 
-function isEventStream({ request, reply }: RelayCall): boolean {
+function isEventStream({ request, response }: RelayCall): boolean {
   if (request.serviceKind !== ServiceKind.Model) return false
-  if (reply.headers['content-encoding'] !== undefined) return false
-  return /^text\/event-stream\b/i.test(reply.headers['content-type'] ?? '')
+  if (response.headers['content-encoding'] !== undefined) return false
+  return /^text\/event-stream\b/i.test(response.headers['content-type'] ?? '')
 }
 
-/** Breaks an answer off so that the caller cannot take it for whole. */
-function breakOff(res: ServerResponse, reply: TargetResponse): void {
+/**
+ * Aborts a response so that the caller cannot take it for a complete one.
+ *
+ * Without framing, an ordinary close would look like the end of the body, so the
+ * connection is reset.
+ */
+function abortResponse(res: ServerResponse, response: TargetResponse): void {
   const framed =
-    res.chunkedEncoding || reply.headers['content-length'] !== undefined
+    res.chunkedEncoding || response.headers['content-length'] !== undefined
   if (framed || !res.socket) res.destroy()
   else res.socket.resetAndDestroy()
 }
 
-/** Creates the step that passes answers on. */
+/** Creates the function that relays responses to callers. */
 export function createRelay(options: RelayOptions): Relay {
   const { targets, tracing, metrics } = options
 
-  function resumeOf(call: RelayCall, runId: string): ResumeStream {
-    const { request, placement, parent } = call
-    const { target } = placement
+  function createResume(call: RelayCall, runId: string): ResumeStream {
+    const { request, slot, parent } = call
+    const { target } = slot
     return async (from) => {
       const span = tracing.startSpan(Hop.Resume, parent, {
         ...spanAttributes(request),
@@ -70,36 +75,40 @@
   }
 
   async function relayStream(call: RelayCall): Promise<void> {
-    const { request, res, placement, reply } = call
-    const runId = runIdOf(reply)
+    const { request, res, slot, response } = call
+    const runId = runIdOf(response)
     const resume: ResumeStream =
       runId === undefined
-        ? () => Promise.reject(new Error('the engine names no run'))
-        : resumeOf(call, runId)
+        ? () =>
+            Promise.reject(
+              new Error('the response of the engine has no run id'),
+            )
+        : createResume(call, runId)
     try {
-      await relayEventStream(res, reply, resume, request.signal)
+      await relayEventStream(res, response, resume, request.signal)
     } catch (error) {
-      if (runId !== undefined) targets.cancel(placement.target, runId)
+      if (runId !== undefined) targets.cancel(slot.target, runId)
       throw error
     }
   }
 
   return async (call) => {
-    const { request, res, placement, reply } = call
-    const streams = isEventStream(call)
-    if (!streams && endsWithConnection(request.method, reply)) {
-      // The caller is told as little of the length as the target told.
+    const { request, res, slot, response } = call
+    const isStream = isEventStream(call)
+    if (!isStream && isCloseDelimited(request.method, response)) {
+      // The target sent no length, so the response to the caller has none either
+      // and ends with the connection.
       res.useChunkedEncodingByDefault = false
       res.shouldKeepAlive = false
     }
-    countCacheUse(metrics, request, reply)
-    writeReplyHead(res, placement, reply, streams)
+    countCacheUse(metrics, request, response)
+    writeResponseHead(res, slot, response, isStream)
     try {
-      if (streams) await relayStream(call)
-      else await relayBody(res, reply)
+      if (isStream) await relayStream(call)
+      else await relayBody(res, response)
     } catch (error) {
-      reply.body.destroy()
-      breakOff(res, reply)
+      response.body.destroy()
+      abortResponse(res, response)
       throw error
     }
   }
--- a/packages/daemon/src/node/callers/deadlinePassed.ts
+++ b/packages/daemon/src/node/callers/deadlinePassed.ts
@@ -1,4 +1,4 @@
-/** Why a request's signal is aborted when its deadline passes. */
+/** Abort reason of a request whose deadline has passed. */
 export class DeadlinePassed extends Error {
   constructor() {
     super('the deadline passed')
--- a/packages/daemon/src/node/callers/parseRequest.ts
+++ b/packages/daemon/src/node/callers/parseRequest.ts
@@ -19,8 +19,8 @@
 import { createFailure } from './createFailure.js'
 import type { RoutedRequest } from './routedRequest.js'
 
-/** What a request is checked against. */
-export interface ParseOptions {
+/** Options for {@link parseRequest}. */
+export interface ParseRequestOptions {
   readonly configuration: Configuration
   readonly body: Buffer
   readonly signal: AbortSignal
@@ -28,7 +28,7 @@
   readonly nowMs: number
 }
 
-/** The service a request names, and the path towards its target. */
+/** The service that a request names and the path to send to its target. */
 interface Destination {
   readonly service: string
   readonly kind: ServiceKind
@@ -43,7 +43,7 @@
 
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS'])
 
-function header(req: IncomingMessage, name: string): string | undefined {
+function readHeader(req: IncomingMessage, name: string): string | undefined {
   const value = req.headers[name]
   return Array.isArray(value) ? value[0] : value
 }
@@ -110,7 +110,7 @@
   req: IncomingMessage,
   nowMs: number,
 ): Result<number | undefined, RequestFailure> {
-  const text = header(req, DEADLINE_HEADER)
+  const text = readHeader(req, DEADLINE_HEADER)
   if (text === undefined) return ok(undefined)
   if (/^\d{1,9}$/.test(text)) return ok(nowMs + Number(text))
   const message = `${DEADLINE_HEADER} takes whole milliseconds`
@@ -118,43 +118,43 @@
 }
 
 function isIdempotent(req: IncomingMessage, kind: ServiceKind): boolean {
-  const marked = header(req, IDEMPOTENT_HEADER)
-  if (marked !== undefined) return marked === 'true'
+  const declared = readHeader(req, IDEMPOTENT_HEADER)
+  if (declared !== undefined) return declared === 'true'
   return kind === ServiceKind.Model || SAFE_METHODS.has(req.method ?? '')
 }
 
-/** Checks a caller's request against the configuration in force. */
+/** Validates a caller's request against the active configuration. */
 export function parseRequest(
   req: IncomingMessage,
   customer: string,
-  options: ParseOptions,
+  options: ParseRequestOptions,
 ): Result<RoutedRequest, RequestFailure> {
   const { configuration, body, signal, nowMs } = options
   const destination = findDestination(req, body)
   if (destination.isErr()) return err(destination.error)
   const { service, kind, path } = destination.value
-  const known = Object.hasOwn(configuration.services, service)
+  const configured = Object.hasOwn(configuration.services, service)
     ? configuration.services[service]
     : undefined
-  if (known?.kind !== kind) {
+  if (configured?.kind !== kind) {
     const message = `there is no ${kind} service named ${JSON.stringify(service)}`
     return err(createFailure(FailureCode.UnknownService, message))
   }
   const deadline = parseDeadline(req, nowMs)
   if (deadline.isErr()) return err(deadline.error)
-  const requestKind = header(req, REQUEST_KIND_HEADER) ?? ''
+  const requestKind = readHeader(req, REQUEST_KIND_HEADER) ?? ''
   return ok({
     id: randomUUID(),
     customer,
     service,
     serviceKind: kind,
-    chat: header(req, CHAT_HEADER) ?? '',
+    chat: readHeader(req, CHAT_HEADER) ?? '',
     requestKind,
     rank: findRank(configuration, { service, customer, requestKind }),
     idempotent: isIdempotent(req, kind),
-    idempotencyKey: header(req, 'idempotency-key'),
+    idempotencyKey: readHeader(req, 'idempotency-key'),
     deadlineAtMs: deadline.value,
-    hint: header(req, HINT_HEADER),
+    hint: readHeader(req, HINT_HEADER),
     method: req.method ?? 'GET',
     path,
     headers: req.headers,
--- a/packages/daemon/src/node/callers/refuseBrokenRequest.ts
+++ b/packages/daemon/src/node/callers/rejectMalformedRequest.ts
@@ -1,13 +1,13 @@
 import type { Duplex } from 'node:stream'
 import { Verdict, VERDICT_HEADER } from '@auburnbay/core'
 
-/** A request that Node's parser rejected, and the answer to it. */
-interface BrokenRequest {
+/** The response to a request that Node's HTTP parser rejected. */
+interface ParseErrorResponse {
   readonly status: string
   readonly message: string
 }
 
-function describe(code: string | undefined): BrokenRequest {
+function toErrorResponse(code: string | undefined): ParseErrorResponse {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW':
       return {
@@ -27,8 +27,8 @@
   }
 }
 
-/** Answers a request that could not be parsed, then closes the connection. */
-export function refuseBrokenRequest(
+/** Handles `clientError`: sends an error response and closes the connection. */
+export function rejectMalformedRequest(
   error: NodeJS.ErrnoException,
   socket: Duplex,
 ): void {
@@ -36,7 +36,7 @@
     socket.destroy()
     return
   }
-  const { status, message } = describe(error.code)
+  const { status, message } = toErrorResponse(error.code)
   const verdict = Verdict.NotRun
   const body = JSON.stringify({
     error: { code: 'bad-request', message, verdict },
--- a/packages/daemon/src/node/callers/relayBody.ts
+++ b/packages/daemon/src/node/callers/relayBody.ts
@@ -2,12 +2,12 @@
 import type { TargetResponse } from '../targets/targetResponse.js'
 import { writeToCaller } from './writeToCaller.js'
 
-/** Whether nothing but the end of the connection ends an answer's body. */
-export function endsWithConnection(
+/** Whether only the end of the connection delimits the body of a response. */
+export function isCloseDelimited(
   method: string,
-  reply: Pick<TargetResponse, 'status' | 'headers'>,
+  response: Pick<TargetResponse, 'status' | 'headers'>,
 ): boolean {
-  const { status, headers } = reply
+  const { status, headers } = response
   if (method === 'HEAD' || status === 204 || status === 304) return false
   return (
     headers['content-length'] === undefined &&
@@ -15,12 +15,13 @@
   )
 }
 
-/** Passes a body on as it comes; throws when it is cut. */
+/** Streams a body to the caller; throws when it is truncated. */
 export async function relayBody(
   res: ServerResponse,
-  reply: TargetResponse,
+  response: TargetResponse,
 ): Promise<void> {
-  for await (const chunk of reply.chunks()) await writeToCaller(res, chunk)
-  if (!reply.body.complete) throw new Error('the answer of the target was cut')
+  for await (const chunk of response.chunks()) await writeToCaller(res, chunk)
+  if (!response.body.complete)
+    throw new Error('the response of the target was truncated')
   res.end()
 }
--- a/packages/daemon/src/node/callers/relayEventStream.ts
+++ b/packages/daemon/src/node/callers/relayEventStream.ts
@@ -4,31 +4,32 @@
 import type { TargetResponse } from '../targets/targetResponse.js'
 import { writeToCaller } from './writeToCaller.js'
 
-/** Returns the rest of a stream, or undefined when this try failed. */
+/** Requests the rest of a stream; undefined when the request failed. */
 export type ResumeStream = (
   fromNumber: number,
 ) => Promise<TargetResponse | undefined>
 
-/** Tries in a row that bring no event before a stream is given up. */
-const MAX_FRUITLESS_RESUMES = 3
-const RESUME_PAUSE_MS = 20
+/** Consecutive resumes without a new event that are tolerated. */
+const MAX_EMPTY_RESUMES = 3
+/** Milliseconds of linear backoff per consecutive resume without a new event. */
+const RESUME_BACKOFF_MS = 20
 
-async function relayConnection(
+async function relayResponse(
   res: ServerResponse,
-  reply: TargetResponse,
+  response: TargetResponse,
   assembler: StreamAssembler,
 ): Promise<void> {
   const decoder = new TextDecoder()
-  for await (const chunk of reply.chunks()) {
+  for await (const chunk of response.chunks()) {
     const events = assembler.push(decoder.decode(chunk, { stream: true }))
     await writeToCaller(res, events)
     if (assembler.fault !== undefined) return
-    // The rest is read so that the connection can serve another request.
+    // Reading on to the end lets the connection be reused.
     if (assembler.done && !res.writableEnded) res.end()
   }
 }
 
-/** Passes an event stream on, whole events only, and resumes it where cut. */
+/** Relays an event stream in complete events and resumes it where it is cut. */
 export async function relayEventStream(
   res: ServerResponse,
   first: TargetResponse,
@@ -36,24 +37,25 @@
   signal: AbortSignal,
 ): Promise<void> {
   const assembler = createStreamAssembler()
-  let reply: TargetResponse | undefined = first
-  let fruitless = 0
+  let response: TargetResponse | undefined = first
+  let emptyResumes = 0
   for (;;) {
     const before = assembler.nextEventNumber
-    if (reply)
-      await relayConnection(res, reply, assembler).catch(() => undefined)
+    if (response)
+      await relayResponse(res, response, assembler).catch(() => undefined)
     if (assembler.done) return
     const { fault, nextEventNumber: nextNumber } = assembler
-    if (fault !== undefined) throw new Error(`the stream is broken: ${fault}`)
+    if (fault !== undefined)
+      throw new Error(`the event stream is invalid: ${fault}`)
     if (nextNumber === undefined)
       throw new Error('the stream was cut and cannot be resumed')
     if (signal.aborted || res.destroyed)
-      throw new Error('the caller went away or the deadline passed')
-    fruitless = nextNumber === before ? fruitless + 1 : 0
-    if (fruitless > MAX_FRUITLESS_RESUMES)
-      throw new Error('the stream was cut again and again')
-    if (fruitless > 0) await sleep(RESUME_PAUSE_MS * fruitless)
-    reply = await resume(nextNumber)
+      throw new Error('the caller disconnected or the deadline passed')
+    emptyResumes = nextNumber === before ? emptyResumes + 1 : 0
+    if (emptyResumes > MAX_EMPTY_RESUMES)
+      throw new Error(`${emptyResumes} consecutive resumes brought no event`)
+    if (emptyResumes > 0) await sleep(RESUME_BACKOFF_MS * emptyResumes)
+    response = await resume(nextNumber)
     assembler.resume()
   }
 }
--- a/packages/daemon/src/node/callers/routedRequest.ts
+++ b/packages/daemon/src/node/callers/routedRequest.ts
@@ -1,9 +1,9 @@
 import type { ServiceKind } from '@auburnbay/core'
 import type { IncomingHttpHeaders } from 'node:http'
 
-/** A checked request on its way to a target. */
+/** A validated request to be sent to a target. */
 export interface RoutedRequest {
-  /** Identity towards the target, which echoes it. */
+  /** Sent as the request id to the target, which echoes it. */
   readonly id: string
   readonly customer: string
   readonly service: string
@@ -15,15 +15,15 @@
   readonly rank: number
   readonly idempotent: boolean
   readonly idempotencyKey?: string
-  /** Milliseconds since the epoch after which the answer is of no use. */
+  /** Deadline in milliseconds since the epoch. */
   readonly deadlineAtMs?: number
   /** Affinity hint as the caller sent it. */
   readonly hint?: string
   readonly method: string
-  /** Path and query towards the target. */
+  /** Path and query to send to the target. */
   readonly path: string
   readonly headers: IncomingHttpHeaders
   readonly body: Buffer
-  /** Aborted once the caller has gone away. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal
 }
--- a/packages/daemon/src/node/callers/sendFailure.ts
+++ b/packages/daemon/src/node/callers/sendFailure.ts
@@ -2,11 +2,11 @@
 import { type RequestFailure, VERDICT_HEADER } from '@auburnbay/core'
 import { sendJson } from '@auburnbay/http-utils'
 
-/** Answers a caller with a failure and its verdict. */
+/** Sends a failure with its verdict as the response. */
 export function sendFailure(
   res: ServerResponse,
   failure: RequestFailure,
-  closes = false,
+  closeConnection = false,
 ): void {
   const { code, message, verdict, retryAfterS } = failure
   sendJson(
@@ -18,7 +18,7 @@
       ...(retryAfterS === undefined
         ? {}
         : { 'retry-after': String(retryAfterS) }),
-      ...(closes ? { connection: 'close' } : {}),
+      ...(closeConnection ? { connection: 'close' } : {}),
     },
   )
 }
--- a/packages/daemon/src/node/callers/writeReplyHead.ts
+++ b/packages/daemon/src/node/callers/writeResponseHead.ts
@@ -12,23 +12,23 @@
 
 const ENGINE_CACHE_HEADER = 'x-engine-cache'
 
-/** Passes the head of a target's answer on. */
-export function writeReplyHead(
+/** Writes the status and headers of a target's response to the caller. */
+export function writeResponseHead(
   res: ServerResponse,
-  placement: TargetSlot,
-  reply: TargetResponse,
+  slot: TargetSlot,
+  response: TargetResponse,
   isEventStream: boolean,
 ): void {
-  const cache = reply.headers[ENGINE_CACHE_HEADER]
-  const headers = headersToCaller(reply.headers)
-  // A resumed stream need not have the length that its first part announced.
+  const cache = response.headers[ENGINE_CACHE_HEADER]
+  const headers = headersToCaller(response.headers)
+  // A resumed stream may differ in length from what the first response declared.
   if (isEventStream) delete headers['content-length']
-  res.writeHead(reply.status, {
+  res.writeHead(response.status, {
     ...headers,
-    [TARGET_HEADER]: placement.target.id,
+    [TARGET_HEADER]: slot.target.id,
     [VERDICT_HEADER]: Verdict.Ran,
     ...(cache === undefined ? {} : { [CACHE_HEADER]: cache }),
-    ...(placement.hint === undefined ? {} : { [HINT_HEADER]: placement.hint }),
+    ...(slot.hint === undefined ? {} : { [HINT_HEADER]: slot.hint }),
   })
   res.flushHeaders()
 }
--- a/packages/daemon/src/node/callers/writeToCaller.ts
+++ b/packages/daemon/src/node/callers/writeToCaller.ts
@@ -1,12 +1,12 @@
 import type { ServerResponse } from 'node:http'
 
-/** Writes to a caller; resolves once there is room for more. */
+/** Writes to a caller; resolves when the next chunk may be written. */
 export function writeToCaller(
   res: ServerResponse,
   chunk: Buffer | string,
 ): Promise<void> {
   if (res.destroyed)
-    return Promise.reject(new Error('the caller has gone away'))
+    return Promise.reject(new Error('the caller closed the connection'))
   if (chunk.length === 0 || res.write(chunk)) return Promise.resolve()
   return new Promise((resolve, reject) => {
     const onDrain = (): void => {
@@ -15,7 +15,7 @@
     }
     const onClose = (): void => {
       res.off('drain', onDrain)
-      reject(new Error('the caller has gone away'))
+      reject(new Error('the caller closed the connection'))
     }
     res.once('drain', onDrain)
     res.once('close', onClose)
--- a/packages/daemon/src/node/security/__tests__/doors.test.ts
+++ b/packages/daemon/src/node/security/__tests__/authentication.test.ts
@@ -11,7 +11,7 @@
 import { callAdmin } from '../../admin/__tests__/callAdmin.js'
 import { PEER_SECRET_HEADER } from '../../peers/peerSecret.js'
 
-describe('the doors', () => {
+describe('authentication', () => {
   let fleet: Fleet
   let expiredKey = ''
 
@@ -28,53 +28,56 @@
   after(() => fleet.stop())
 
   describe('of callers', () => {
-    const texts: [string, () => string][] = [
+    const keys: [string, () => string][] = [
       ['no key', () => ''],
       ['a key with a wrong secret', () => `${fleet.callerKey}x`],
       ['another key’s id', () => fleet.callerKey.replace('bridge', 'deck')],
       ['another customer’s name', () => fleet.callerKey.replace('corrib', 'x')],
-      ['a name every object has', () => 'constructor/keys/secret'],
+      [
+        'a key of `Object.prototype` as customer',
+        () => 'constructor/keys/secret',
+      ],
       ['an expired key', () => expiredKey],
       ['the administration secret', () => TEST_ADMIN_TOKEN],
       ['a revoked key', () => 'corrib/gone/secret'],
     ]
-    for (const [name, text] of texts) {
-      it(`stay shut for ${name}`, async () => {
-        const answer = await callChat(fleet.callerUrl(), text(), 'voyage')
-        assert.equal(answer.status, 401)
+    for (const [name, key] of keys) {
+      it(`rejects ${name}`, async () => {
+        const response = await callChat(fleet.callerUrl(), key(), 'voyage')
+        assert.equal(response.status, 401)
         assert.equal(fleet.engines[0]?.runs.length, 0)
       })
     }
   })
 
   describe('of the administration API', () => {
-    const texts: [string, () => string][] = [
+    const tokens: [string, () => string][] = [
       ['no token', () => ''],
       ['a wrong token', () => 'wrong'],
       ['an unknown operator', () => 'nobody/secret'],
       ['a caller’s key', () => fleet.callerKey],
       ['the peers’ secret', () => 'test-peer-secret-0123456789'],
-      ['the administration secret and more', () => `${TEST_ADMIN_TOKEN}x`],
+      ['the administration secret with a suffix', () => `${TEST_ADMIN_TOKEN}x`],
     ]
     const paths = ['/config', '/config/patches', '/routers', '/nowhere']
-    for (const [name, text] of texts) {
-      it(`stay shut for ${name}`, async () => {
+    for (const [name, token] of tokens) {
+      it(`rejects ${name}`, async () => {
         for (const path of paths) {
-          const reply = await callAdmin(fleet, { path, token: text() })
+          const reply = await callAdmin(fleet, { path, token: token() })
           assert.equal(reply.status, 401, path)
         }
       })
     }
 
-    it('are not on the listeners of callers and peers', async () => {
+    it('does not serve the API on the listeners of callers and peers', async () => {
       const headers = { authorization: `Bearer ${TEST_ADMIN_TOKEN}` }
       const peers = fleet.routers[0]?.addresses.peers
       assert.ok(peers)
       const bases = [fleet.callerUrl(), `http://${formatAddress(peers)}`]
       for (const base of bases) {
-        const answer = await callApi({ url: `${base}/config`, headers })
-        assert.ok(answer.status >= 400, base)
-        assert.doesNotMatch(answer.text, /corrib/)
+        const response = await callApi({ url: `${base}/config`, headers })
+        assert.ok(response.status >= 400, base)
+        assert.doesNotMatch(response.text, /corrib/)
       }
     })
   })
@@ -86,7 +89,7 @@
       ['the administration secret', TEST_ADMIN_TOKEN],
     ]
     for (const [name, secret] of secrets) {
-      it(`stay shut for ${name}`, async () => {
+      it(`rejects ${name}`, async () => {
         const peers = fleet.routers[0]?.addresses.peers
         assert.ok(peers)
         const reply = await requestJson({
--- a/packages/daemon/src/node/security/__tests__/connectionLimits.test.ts
+++ b/packages/daemon/src/node/security/__tests__/connectionLimits.test.ts
@@ -22,14 +22,14 @@
 }
 
 describe('connections of callers', () => {
-  it('are closed unread beyond the limit of an address', () =>
+  it('are closed before a request is read when their address is at its limit', () =>
     withFleet({ maxConnectionsPerAddress: 4 }, async (fleet) => {
       const address = fleet.routers[0]?.addresses.callers
       assert.ok(address)
       const sockets = Array.from({ length: 8 }, () => connect(address).resume())
       const open = () => sockets.filter((socket) => !socket.destroyed).length
       try {
-        // The fleet's own readiness checks may hold one of the four.
+        // The readiness checks of startFleet may hold one of the four.
         await eventually(() => open() <= 4)
         assert.ok(open() >= 3, `${open()} are open`)
       } finally {
@@ -46,7 +46,7 @@
       })
     }))
 
-  it('are refused as not run beyond the limit of a customer', () =>
+  it('are rejected as not run when their customer is at its limit', () =>
     withFleet({ maxConnectionsPerCustomer: 1 }, async (fleet) => {
       const agents = [new Agent({ keepAlive: true }), new Agent()]
       const call = async (agent?: Agent) => {
@@ -64,7 +64,11 @@
       assert.equal(second.status, 429)
       assert.match(JSON.stringify(second.body), /"not-run"/)
       assert.equal(fleet.plain.calls.length, 1)
-      assert.equal((await call(agents[0])).status, 200, 'the first goes on')
+      assert.equal(
+        (await call(agents[0])).status,
+        200,
+        'the first connection still works',
+      )
       for (const agent of agents) agent.destroy()
       await eventually(async () => (await call()).status === 200)
     }))
--- a/packages/daemon/src/node/security/__tests__/createTestCertificates.ts
+++ b/packages/daemon/src/node/security/__tests__/createTestCertificates.ts
@@ -3,15 +3,15 @@
 import { join } from 'node:path'
 import { generate } from 'selfsigned'
 
-/** A CA and the certificates it signs, as files. */
+/** A test CA that writes the certificates it signs to files. */
 export interface TestCertificates {
   readonly caFile: string
   readonly ca: string
-  /** Signs a certificate for 127.0.0.1; the same name writes the same files again. */
+  /** Signs a certificate for 127.0.0.1; a repeated name overwrites its files. */
   issue(name: string): Promise<{ certFile: string; keyFile: string }>
 }
 
-/** Creates a CA in a new folder. */
+/** Creates a CA in a new temporary folder. */
 export async function createTestCertificates(): Promise<TestCertificates> {
   const folder = mkdtempSync(join(tmpdir(), 'auburnbay-tls-'))
   const keys = { keyType: 'ec', algorithm: 'sha256' } as const
--- a/packages/daemon/src/node/security/__tests__/headers.test.ts
+++ b/packages/daemon/src/node/security/__tests__/headers.test.ts
@@ -45,8 +45,8 @@
     await closeServer(target)
   })
 
-  it('stay on their hop when they belong there', async () => {
-    const answer = await callApi({
+  it('are dropped when they are hop-by-hop headers', async () => {
+    const response = await callApi({
       url: `${fleet.callerUrl()}/v1/services/echo/x`,
       headers: {
         authorization: `Bearer ${fleet.callerKey}`,
@@ -60,16 +60,16 @@
         'x-kept': 'yes',
       },
     })
-    assert.equal(answer.status, 200)
+    assert.equal(response.status, 200)
     const headers = seen.at(-1) ?? {}
     assert.equal(headers['x-kept'], 'yes')
-    const private_ = ['authorization', 'x-private', 'te', 'upgrade']
-    for (const name of [...private_, 'proxy-authorization', 'keep-alive'])
+    const hopByHop = ['x-private', 'te', 'upgrade', 'keep-alive']
+    for (const name of [...hopByHop, 'authorization', 'proxy-authorization'])
       assert.equal(headers[name], undefined, name)
     assert.ok(headers['x-request-id'])
     assert.notEqual(headers['x-request-id'], 'chosen-by-the-caller')
-    assert.equal(answer.headers['x-kept'], 'yes')
-    assert.equal(answer.headers['x-internal'], undefined)
-    assert.equal(answer.headers['proxy-authenticate'], undefined)
+    assert.equal(response.headers['x-kept'], 'yes')
+    assert.equal(response.headers['x-internal'], undefined)
+    assert.equal(response.headers['proxy-authenticate'], undefined)
   })
 })
--- a/packages/daemon/src/node/security/__tests__/leaks.test.ts
+++ b/packages/daemon/src/node/security/__tests__/leaks.test.ts
@@ -50,8 +50,8 @@
     statsd.close()
   })
 
-  it('stand in no log, span, metric, answer or configuration shown', async () => {
-    const answers: string[] = []
+  it('do not appear in logs, spans, metrics, responses or shown configuration', async () => {
+    const responses: string[] = []
     const key = 'corrib/bridge/a-wrong-but-secret-text'
     const wrong = await callChat(fleet.callerUrl(), key, 'voyage')
     const right = await callChat(fleet.callerUrl(), fleet.callerKey, 'voyage')
@@ -61,20 +61,20 @@
       headers: { authorization: `Bearer ${fleet.callerKey}` },
     })
     for (const { text, headers } of [wrong, right, unknownPath])
-      answers.push(text, JSON.stringify(headers))
+      responses.push(text, JSON.stringify(headers))
     const path = '/customers/corrib/keys'
     const body = { keyId: 'agents' }
-    const made = await callAdmin(fleet, { method: 'POST', path, body })
+    const created = await callAdmin(fleet, { method: 'POST', path, body })
     const badPatch = await callAdmin(fleet, {
       method: 'POST',
       path: '/config/patches',
       token: 'nobody/a-wrong-operator-secret',
       body: { operations: [] },
     })
-    answers.push(JSON.stringify(badPatch.body))
-    const shown = ['/config', '/config/history', '/config/diff?from=0']
-    for (const shownPath of [...shown, '/customers', '/customers/corrib'])
-      answers.push(
+    responses.push(JSON.stringify(badPatch.body))
+    const paths = ['/config', '/config/history', '/config/diff?from=0']
+    for (const shownPath of [...paths, '/customers', '/customers/corrib'])
+      responses.push(
         JSON.stringify((await callAdmin(fleet, { path: shownPath })).body),
       )
     const traced = spans.getFinishedSpans().map((span) => ({
@@ -86,7 +86,7 @@
     assert.ok(traced.length > 0)
     assert.match(output, /auburnbay\./, 'metrics were sent')
     assert.match(output, /"part":"daemon"/, 'logs were written')
-    const everything = [output, JSON.stringify(traced), ...answers].join('\n')
+    const everything = [output, JSON.stringify(traced), ...responses].join('\n')
     const hashes = JSON.stringify(fleet.log.stream('configuration').read(0, 99))
     const stored = [...hashes.matchAll(/"(?:salt|hash)":"([^"]+)"/g)]
     assert.ok(stored.length >= 4)
@@ -95,14 +95,14 @@
       'test-peer-secret-0123456789',
       'test-hint-secret-0123456789',
       fleet.callerKey.split('/')[2] ?? '',
-      made.body.key.split('/')[2] ?? '',
+      created.body.key.split('/')[2] ?? '',
       'a-wrong-but-secret-text',
       'a-wrong-operator-secret',
       ...stored.map((match) => match[1] ?? ''),
     ]
     for (const secret of secrets) {
       assert.ok(secret.length > 10)
-      assert.ok(!everything.includes(secret), `${secret} was shown`)
+      assert.ok(!everything.includes(secret), `${secret} leaked`)
     }
   })
 })
--- a/packages/daemon/src/node/security/__tests__/sendRaw.ts
+++ b/packages/daemon/src/node/security/__tests__/sendRaw.ts
@@ -1,17 +1,21 @@
 import { connect } from 'node:net'
 import type { ListenAddress } from '@auburnbay/http-utils'
 
-const GIVE_UP_MS = 10_000
+const CLOSE_TIMEOUT_MS = 10_000
 
-/** Sends bytes as they are and returns all that comes until the other side closes. */
+/** Sends raw bytes and returns everything received until the peer closes. */
 export function sendRaw(address: ListenAddress, text: string): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect(address)
     let received = ''
     const timer = setTimeout(() => {
       socket.destroy()
-      reject(new Error(`the connection stayed open after ${received}`))
-    }, GIVE_UP_MS)
+      reject(
+        new Error(
+          `the connection is still open after ${CLOSE_TIMEOUT_MS} ms; received: ${received}`,
+        ),
+      )
+    }, CLOSE_TIMEOUT_MS)
     socket.setEncoding('utf8')
     socket.on('data', (chunk: string) => {
       received += chunk
--- a/packages/daemon/src/node/security/__tests__/smuggling.test.ts
+++ b/packages/daemon/src/node/security/__tests__/smuggling.test.ts
@@ -3,7 +3,7 @@
 import { type Fleet, startFleet } from '../../__tests__/startFleet.js'
 import { sendRaw } from './sendRaw.js'
 
-describe('a request of ambiguous length', () => {
+describe('a request with ambiguous framing', () => {
   let fleet: Fleet
 
   before(async () => {
@@ -24,85 +24,93 @@
     return sendRaw(address, `${head.join('\r\n')}\r\n\r\n${body}`)
   }
 
-  const hidden = 'GET /v1/services/charts/hidden HTTP/1.1\r\nHost: x\r\n\r\n'
-  const chunked = '0\r\n\r\n'
+  const smuggled = 'GET /v1/services/charts/hidden HTTP/1.1\r\nHost: x\r\n\r\n'
+  const lastChunk = '0\r\n\r\n'
   const cases: [string, string[], string][] = [
     [
       'Content-Length beside Transfer-Encoding',
       ['Content-Length: 4', 'Transfer-Encoding: chunked'],
-      `${chunked}${hidden}`,
+      `${lastChunk}${smuggled}`,
     ],
     [
       'Transfer-Encoding beside Content-Length',
       ['Transfer-Encoding: chunked', 'Content-Length: 4'],
-      `${chunked}${hidden}`,
+      `${lastChunk}${smuggled}`,
+    ],
+    [
+      'two lengths',
+      ['Content-Length: 2', 'Content-Length: 60'],
+      `{}${smuggled}`,
     ],
-    ['two lengths', ['Content-Length: 2', 'Content-Length: 60'], `{}${hidden}`],
     ['two equal lengths', ['Content-Length: 2', 'Content-Length: 2'], '{}'],
-    ['a list of lengths', ['Content-Length: 2, 60'], `{}${hidden}`],
+    ['a list of lengths', ['Content-Length: 2, 60'], `{}${smuggled}`],
     ['a signed length', ['Content-Length: +2'], '{}'],
     ['a length in hexadecimal', ['Content-Length: 0x2'], '{}'],
     ['a length with a space inside', ['Content-Length: 1 0'], '{}'],
-    ['a space before the colon', ['Content-Length : 2'], `{}${hidden}`],
+    ['a space before the colon', ['Content-Length : 2'], `{}${smuggled}`],
     ['a folded header', ['X-One: a', ' Content-Length: 2'], '{}'],
     [
       'an unknown coding after chunked',
       ['Transfer-Encoding: chunked, identity'],
-      `${chunked}${hidden}`,
+      `${lastChunk}${smuggled}`,
     ],
     [
       'a coding that only looks like chunked',
       ['Transfer-Encoding: xchunked'],
-      `${chunked}${hidden}`,
+      `${lastChunk}${smuggled}`,
     ],
     [
       'two codings',
       ['Transfer-Encoding: chunked', 'Transfer-Encoding: chunked'],
-      `${chunked}${hidden}`,
+      `${lastChunk}${smuggled}`,
     ],
     [
       'a chunk size with a sign',
       ['Transfer-Encoding: chunked'],
-      `+2\r\n{}\r\n${chunked}`,
+      `+2\r\n{}\r\n${lastChunk}`,
     ],
     [
       'a chunk that is longer than its size',
       ['Transfer-Encoding: chunked'],
-      `2\r\n{}xx\r\n${chunked}`,
+      `2\r\n{}xx\r\n${lastChunk}`,
     ],
     [
       'a chunk size that ends with a bare line feed',
       ['Transfer-Encoding: chunked'],
-      `2\n{}\r\n${chunked}`,
+      `2\n{}\r\n${lastChunk}`,
     ],
     [
       'a chunk extension with a bare line feed',
       ['Transfer-Encoding: chunked'],
-      `2;x=\n{}\r\n${chunked}`,
+      `2;x=\n{}\r\n${lastChunk}`,
     ],
     [
       'a header line that ends with a bare line feed',
       ['X-One: a\nContent-Length: 2'],
-      `{}${hidden}`,
+      `{}${smuggled}`,
     ],
     ['a header name with a null byte', ['X-\u0000One: a'], ''],
   ]
   for (const [name, lines, body] of cases) {
-    it(`is refused: ${name}`, async () => {
-      const ran = fleet.plain.calls.length
-      const answer = await send(lines, body)
-      assert.match(answer, /^HTTP\/1\.1 400 /, answer)
-      assert.match(answer, /x-auburnbay-verdict: not-run/i)
-      assert.equal(answer.split('HTTP/1.1 ').length, 2, 'one answer alone')
-      assert.equal(fleet.plain.calls.length, ran)
+    it(`is rejected: ${name}`, async () => {
+      const callsBefore = fleet.plain.calls.length
+      const response = await send(lines, body)
+      assert.match(response, /^HTTP\/1\.1 400 /, response)
+      assert.match(response, /x-auburnbay-verdict: not-run/i)
+      assert.equal(
+        response.split('HTTP/1.1 ').length,
+        2,
+        'more than one response',
+      )
+      assert.equal(fleet.plain.calls.length, callsBefore)
     })
   }
 
-  it('goes on with one meaning when chunk extensions are well-formed', async () => {
-    const body = `2;name=value\r\n{}\r\n${chunked}`
+  it('is forwarded as a single request when its chunk extensions are well-formed', async () => {
+    const body = `2;name=value\r\n{}\r\n${lastChunk}`
     const lines = ['Transfer-Encoding: chunked', 'Connection: close']
-    const answer = await send(lines, body)
-    assert.match(answer, /^HTTP\/1\.1 200 /)
+    const response = await send(lines, body)
+    assert.match(response, /^HTTP\/1\.1 200 /)
     assert.equal(fleet.plain.calls.at(-1)?.path, '/notices')
   })
 })
--- a/packages/daemon/src/node/security/__tests__/startTlsRouter.ts
+++ b/packages/daemon/src/node/security/__tests__/startTlsRouter.ts
@@ -7,13 +7,13 @@
 import type { Daemon } from '../../daemon.js'
 import { resolveSettings } from '../../settings/resolveSettings.js'
 
-/** A router whose listeners all speak TLS. */
+/** A router whose listeners all use TLS. */
 export interface TlsRouter {
   readonly daemon: Daemon
   stop(): Promise<void>
 }
 
-/** TLS files of the listeners. */
+/** TLS files that all listeners use. */
 export interface ListenerFiles {
   readonly certFile: string
   readonly keyFile: string
--- a/packages/daemon/src/node/security/__tests__/targetTls.test.ts
+++ b/packages/daemon/src/node/security/__tests__/targetTls.test.ts
@@ -40,19 +40,19 @@
 }
 
 describe('TLS towards targets', () => {
-  it('sends requests and load polls to targets of the CA alone', async () => {
+  it('sends requests and load polls only to targets with a certificate of the CA', async () => {
     const certificates = await createTestCertificates()
-    const strangers = await createTestCertificates()
-    const known = await startTarget(await certificates.issue('target'))
-    const stranger = await startTarget(await strangers.issue('target'))
+    const otherCertificates = await createTestCertificates()
+    const trusted = await startTarget(await certificates.issue('target'))
+    const untrusted = await startTarget(await otherCertificates.issue('target'))
     const { caFile } = certificates
     const targets = { tls: { caFile }, reportMs: 50 }
     const fleet = await startFleet({ engines: 1, settings: { targets } })
     try {
       const operations = [
-        ...addService('known', known.address),
-        ...addService('stranger', stranger.address),
-        ...addService('model', known.address, 'model'),
+        ...addService('trusted', trusted.address),
+        ...addService('untrusted', untrusted.address),
+        ...addService('model', trusted.address, 'model'),
       ]
       assert.equal((await fleet.patch(operations, 1)).status, 200)
       const call = (service: string) =>
@@ -60,17 +60,17 @@
           url: `${fleet.callerUrl()}/v1/services/${service}/x`,
           headers: { authorization: `Bearer ${fleet.callerKey}` },
         })
-      assert.equal((await call('known')).status, 200)
-      assert.equal(known.calls(), 1)
-      // 502 for the attempt itself, 503 once the target counts as failing.
-      const refused = await call('stranger')
+      assert.equal((await call('trusted')).status, 200)
+      assert.equal(trusted.calls(), 1)
+      // 502 from the attempt itself, or 503 once the target is marked as failing.
+      const refused = await call('untrusted')
       assert.ok([502, 503].includes(refused.status), String(refused.status))
-      assert.equal(stranger.calls(), 0)
-      await eventually(() => known.polls() > 0)
-      assert.equal(stranger.polls(), 0)
+      assert.equal(untrusted.calls(), 0)
+      await eventually(() => trusted.polls() > 0)
+      assert.equal(untrusted.polls(), 0)
     } finally {
       await fleet.stop()
-      await Promise.all([known.close(), stranger.close()])
+      await Promise.all([trusted.close(), untrusted.close()])
     }
   })
 })
--- a/packages/daemon/src/node/security/__tests__/tls.test.ts
+++ b/packages/daemon/src/node/security/__tests__/tls.test.ts
@@ -14,10 +14,11 @@
 } from './createTestCertificates.js'
 import { startTlsRouter, type TlsRouter } from './startTlsRouter.js'
 
-const MANUAL_POLL_MS = 60_000
+/** Longer than any test, so that only `reloadCertificates()` loads files. */
+const NO_POLL_MS = 60_000
 const FAST_POLL_MS = 20
 
-function serialOf(router: TlsRouter, ca: string): Promise<string> {
+function readSerialNumber(router: TlsRouter, ca: string): Promise<string> {
   const { host, port } = router.daemon.addresses.callers
   return new Promise((resolve, reject) => {
     const socket = connect({ host, port, ca }, () => {
@@ -47,7 +48,7 @@
 
 describe('TLS of the listeners', () => {
   it('serves callers and operators, and refuses plain HTTP', () =>
-    withRouter(MANUAL_POLL_MS, async ({ daemon }, { ca }) => {
+    withRouter(NO_POLL_MS, async ({ daemon }, { ca }) => {
       const { callers, admin } = daemon.addresses
       const agent = new Agent({ ca })
       const call = (address: string) =>
@@ -66,13 +67,13 @@
       agent.destroy()
     }))
 
-  it('takes a renewed certificate without dropping a connection', () =>
-    withRouter(MANUAL_POLL_MS, async (router, certificates) => {
+  it('loads a renewed certificate without dropping open connections', () =>
+    withRouter(NO_POLL_MS, async (router, certificates) => {
       const { ca } = certificates
       const agent = new Agent({ ca, keepAlive: true, maxSockets: 1 })
       const { host, port } = router.daemon.addresses.callers
       const sockets = new Set<unknown>()
-      const ask = (): Promise<number | undefined> =>
+      const checkHealth = (): Promise<number | undefined> =>
         new Promise((resolve, reject) => {
           const req = request({ host, port, path: '/healthz', agent })
           req.once('error', reject)
@@ -85,31 +86,33 @@
           })
           req.end()
         })
-      const first = await serialOf(router, ca)
-      assert.equal(await ask(), 200)
+      const first = await readSerialNumber(router, ca)
+      assert.equal(await checkHealth(), 200)
       await certificates.issue('router')
       router.daemon.reloadCertificates()
-      assert.notEqual(await serialOf(router, ca), first)
-      assert.equal(await ask(), 200)
-      assert.equal(sockets.size, 1, 'the open connection went on')
+      assert.notEqual(await readSerialNumber(router, ca), first)
+      assert.equal(await checkHealth(), 200)
+      assert.equal(sockets.size, 1, 'the open connection was reused')
       agent.destroy()
     }))
 
-  it('finds a renewed certificate by itself and keeps the old one of a broken file', () =>
+  it('polls for a renewed certificate and keeps the current one when the file is invalid', () =>
     withRouter(FAST_POLL_MS, async (router, certificates) => {
       const { ca } = certificates
-      const first = await serialOf(router, ca)
+      const first = await readSerialNumber(router, ca)
       const files = await certificates.issue('router')
-      await eventually(async () => (await serialOf(router, ca)) !== first)
-      const second = await serialOf(router, ca)
+      await eventually(
+        async () => (await readSerialNumber(router, ca)) !== first,
+      )
+      const second = await readSerialNumber(router, ca)
       writeFileSync(files.certFile, 'not a certificate')
       router.daemon.reloadCertificates()
-      assert.equal(await serialOf(router, ca), second)
+      assert.equal(await readSerialNumber(router, ca), second)
     }))
 })
 
 describe('TLS between routers', () => {
-  it('lets routers in with a certificate of the CA, and nobody else', async () => {
+  it('accepts only clients with a certificate signed by the CA', async () => {
     const certificates = await createTestCertificates()
     const { caFile, ca } = certificates
     const tls = { ...(await certificates.issue('router')), caFile }
@@ -128,9 +131,12 @@
       const url = `https://${formatAddress(address)}/heartbeat`
       const secret = { [PEER_SECRET_HEADER]: 'test-peer-secret-0123456789' }
       const call = { method: 'POST', url, headers: secret, timeoutMs: 5_000 }
-      const stranger = new Agent({ ca, checkServerIdentity: () => undefined })
-      const refused = await requestJson({ ...call, agent: stranger })
-      assert.ok(refused.isErr(), 'no certificate, no connection')
+      const withoutCertificate = new Agent({
+        ca,
+        checkServerIdentity: () => undefined,
+      })
+      const refused = await requestJson({ ...call, agent: withoutCertificate })
+      assert.ok(refused.isErr(), 'a client without a certificate was accepted')
     } finally {
       await fleet.stop()
     }
--- a/packages/daemon/src/node/security/constants.ts
+++ b/packages/daemon/src/node/security/constants.ts
@@ -1,4 +1,4 @@
-/** Milliseconds between two looks at the certificate files. */
+/** Milliseconds between checks of the certificate files for changes. */
 export const DEFAULT_CERTIFICATE_POLL_MS = 30_000
-/** Shortest secret taken, in characters. */
+/** Minimum length of a secret, in characters. */
 export const MIN_SECRET_LENGTH = 16
--- a/packages/daemon/src/node/security/createAgents.ts
+++ b/packages/daemon/src/node/security/createAgents.ts
@@ -4,41 +4,44 @@
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import type { Certificates } from './createCertificates.js'
 
-/** Agents of a router's calls, with TLS as the settings say. */
+/** HTTP agents for a router's outgoing requests, with TLS as configured. */
 export interface Agents {
   readonly peers: Agent
   readonly log: Agent
   readonly vmList: Agent
   readonly loads: Agent
   readonly cacheEvents: Agent
-  /** Makes an agent for requests to targets use TLS where it is set. */
+  /** Enables TLS on an agent for requests to targets, if configured. */
   readonly secureTargetAgent: <T extends Agent>(agent: T) => T
 }
 
-/** Creates the agents and has their traffic counted. */
+/** Creates the agents and meters their traffic. */
 export function createAgents(
   settings: ResolvedSettings,
   certificates: Certificates,
   traffic: TrafficMeter,
 ): Agents {
-  const forUrl = (url: string): Agent =>
+  const createUrlAgent = (url: string): Agent =>
     certificates.createAgent(url.startsWith('https:') ? {} : undefined)
-  const toTargets = <T extends Agent>(agent: T): T =>
-    certificates.secure(agent, settings.targets.tls)
-  // Peers have changing addresses; the CA alone says who is a router.
+  const secureTargetAgent = <T extends Agent>(agent: T): T =>
+    certificates.enableTls(agent, settings.targets.tls)
+  // The addresses of peers change, so only the CA identifies a router.
   const peers = certificates.createAgent(settings.listen.peers.tls, {
-    checksName: false,
+    verifyHostname: false,
   })
   const { Peers, Log, VmList, Loads, CacheEvents } = ControlPurpose
   return {
     peers: traffic.trackAgent(Peers, peers),
-    log: traffic.trackAgent(Log, forUrl(settings.logService.url)),
-    vmList: traffic.trackAgent(VmList, forUrl(settings.vmList.url)),
-    loads: traffic.trackAgent(Loads, toTargets(new Agent({ keepAlive: true }))),
+    log: traffic.trackAgent(Log, createUrlAgent(settings.logService.url)),
+    vmList: traffic.trackAgent(VmList, createUrlAgent(settings.vmList.url)),
+    loads: traffic.trackAgent(
+      Loads,
+      secureTargetAgent(new Agent({ keepAlive: true })),
+    ),
     cacheEvents: traffic.trackAgent(
       CacheEvents,
-      toTargets(new Agent({ keepAlive: true })),
+      secureTargetAgent(new Agent({ keepAlive: true })),
     ),
-    secureTargetAgent: toTargets,
+    secureTargetAgent,
   }
 }
--- a/packages/daemon/src/node/security/createCertificates.ts
+++ b/packages/daemon/src/node/security/createCertificates.ts
@@ -16,41 +16,46 @@
 import type { ConsolaInstance } from 'consola'
 import { createLoop } from '../tasks/createLoop.js'
 
-/** Creates servers and agents and gives them renewed certificates. */
+/** Creates servers and agents and updates their certificates on renewal. */
 export interface Certificates {
-  /** Creates a server; TLS when files are named. */
+  /** Creates a server, with TLS if files are given. */
   createServer(
     options: ServerOptions,
     listener: RequestListener,
     files?: TlsFiles,
   ): WebServer
-  /** Creates an agent for kept connections; TLS when files are named. */
+  /** Creates a keep-alive agent, with TLS if files are given. */
   createAgent(files?: TlsFiles, options?: TlsClientOptions): HttpAgent
-  /** Makes a plain agent open its connections over TLS when files are named. */
-  secure<T extends HttpAgent>(agent: T, files?: TlsFiles): T
-  /** Takes renewed files into use; connections that are open stay. */
+  /** Makes a plain HTTP agent connect over TLS if files are given. */
+  enableTls<T extends HttpAgent>(agent: T, files?: TlsFiles): T
+  /** Loads changed files for new connections; open connections stay. */
   readonly reload: () => void
   stop(): Promise<void>
 }
 
-/** How an agent checks servers. */
+/** How an agent verifies servers. */
 export interface TlsClientOptions {
-  /** Whether the certificate must name the server's address. @default true */
-  readonly checksName?: boolean
+  /** Whether the certificate must match the server's address. @default true */
+  readonly verifyHostname?: boolean
 }
 
-interface Follower {
+/** A server or agent whose certificate is updated on renewal. */
+interface CertificateUser {
   readonly files: TlsFiles
   material: TlsMaterial
   readonly apply: (material: TlsMaterial) => void
 }
 
-/** Starts following the certificate files; throws when a first one is unusable. */
+/**
+ * Starts to poll the certificate files for changes.
+ *
+ * Creating a server or an agent throws when its files cannot be loaded.
+ */
 export function createCertificates(
   pollMs: number,
   logger: ConsolaInstance,
 ): Certificates {
-  const followers: Follower[] = []
+  const users: CertificateUser[] = []
 
   function load(files: TlsFiles): TlsMaterial {
     const material = readTlsFiles(files)
@@ -58,21 +63,19 @@
     return material.value
   }
 
-  function follow(follower: Follower): void {
-    followers.push(follower)
-  }
-
   function reload(): void {
-    for (const follower of followers) {
-      const read = readTlsFiles(follower.files)
+    for (const user of users) {
+      const read = readTlsFiles(user.files)
       if (read.isErr()) {
-        logger.error(`Keeping the old certificate: ${read.error}.`)
+        logger.error(
+          `Cannot reload TLS files, keeping the current certificate: ${read.error}.`,
+        )
         continue
       }
-      if (isDeepStrictEqual(read.value, follower.material)) continue
-      follower.material = read.value
-      follower.apply(read.value)
-      logger.info(`Took ${follower.files.certFile ?? 'a CA'} into use.`)
+      if (isDeepStrictEqual(read.value, user.material)) continue
+      user.material = read.value
+      user.apply(read.value)
+      logger.info(`Reloaded TLS files: ${user.files.certFile ?? 'CA only'}.`)
     }
   }
 
@@ -97,36 +100,36 @@
       const apply = (renewed: TlsMaterial): void => {
         if ('setSecureContext' in server) server.setSecureContext(renewed)
       }
-      follow({ files, material, apply })
+      users.push({ files, material, apply })
       return server
     },
-    secure(agent, files) {
+    enableTls(agent, files) {
       if (!files) return agent
-      const follower: Follower = {
+      const user: CertificateUser = {
         files,
         material: load(files),
-        // Each connection reads the newest material when it opens.
+        // createConnection reads the current material for each connection.
         apply: () => undefined,
       }
-      follow(follower)
+      users.push(user)
       const createConnection = (options: ConnectionOptions): TLSSocket =>
-        connect({ ...options, ...follower.material })
+        connect({ ...options, ...user.material })
       Object.assign(agent, { createConnection })
       return agent
     },
-    createAgent(files, { checksName = true } = {}) {
+    createAgent(files, { verifyHostname = true } = {}) {
       if (!files) return new HttpAgent({ keepAlive: true })
       const material = load(files)
       const agent = new HttpsAgent({
         keepAlive: true,
         ...material,
-        ...(checksName ? {} : { checkServerIdentity: () => undefined }),
+        ...(verifyHostname ? {} : { checkServerIdentity: () => undefined }),
       })
-      // New connections take the agent's options; open ones go on as they are.
+      // The agent's options apply to new connections; open ones are unaffected.
       const apply = (renewed: TlsMaterial): void => {
         Object.assign(agent.options, renewed)
       }
-      follow({ files, material, apply })
+      users.push({ files, material, apply })
       return agent
     },
   }
--- a/packages/daemon/src/node/security/createConnectionLimits.ts
+++ b/packages/daemon/src/node/security/createConnectionLimits.ts
@@ -1,28 +1,32 @@
 import type { Socket } from 'node:net'
 
-/** How many connections callers may hold open. */
+/** Maximum numbers of open connections. */
 export interface ConnectionLimitOptions {
-  /** From one address; no limit when absent. */
+  /** Per remote address; unlimited when absent. */
   readonly maxPerAddress?: number
-  /** Of one customer. */
+  /** Per customer. */
   readonly maxPerCustomer: number
 }
 
-/** Counts callers' open connections. */
+/** Limits callers' open connections. */
 export interface ConnectionLimits {
-  /** Counts a new connection; false when its address has too many. */
-  open(socket: Socket): boolean
-  /** Counts a connection for a customer; false when it has too many. */
-  claim(customer: string, socket: Socket): boolean
+  /** Adds a new connection; false when its address is at the limit. */
+  add(socket: Socket): boolean
+  /** Assigns a connection to a customer; false when the customer is at the limit. */
+  assign(customer: string, socket: Socket): boolean
 }
 
-function remove<K>(sets: Map<K, Set<Socket>>, key: K, socket: Socket): void {
+function removeSocket<K>(
+  sets: Map<K, Set<Socket>>,
+  key: K,
+  socket: Socket,
+): void {
   const set = sets.get(key)
   set?.delete(socket)
   if (set?.size === 0) sets.delete(key)
 }
 
-function add<K>(
+function tryAddSocket<K>(
   sets: Map<K, Set<Socket>>,
   key: K,
   socket: Socket,
@@ -34,12 +38,12 @@
   set.add(socket)
   sets.set(key, set)
   socket.once('close', () => {
-    remove(sets, key, socket)
+    removeSocket(sets, key, socket)
   })
   return true
 }
 
-/** Creates the counts of one listener. */
+/** Creates the connection limits of one server. */
 export function createConnectionLimits(
   options: ConnectionLimitOptions,
 ): ConnectionLimits {
@@ -47,9 +51,14 @@
   const byCustomer = new Map<string, Set<Socket>>()
   const { maxPerAddress = Infinity, maxPerCustomer } = options
   return {
-    open: (socket) =>
-      add(byAddress, socket.remoteAddress ?? '', socket, maxPerAddress),
-    claim: (customer, socket) =>
-      add(byCustomer, customer, socket, maxPerCustomer),
+    add: (socket) =>
+      tryAddSocket(
+        byAddress,
+        socket.remoteAddress ?? '',
+        socket,
+        maxPerAddress,
+      ),
+    assign: (customer, socket) =>
+      tryAddSocket(byCustomer, customer, socket, maxPerCustomer),
   }
 }
--- a/packages/daemon/src/node/security/createNetwork.ts
+++ b/packages/daemon/src/node/security/createNetwork.ts
@@ -8,7 +8,7 @@
 import { type Agents, createAgents } from './createAgents.js'
 import { type Certificates, createCertificates } from './createCertificates.js'
 
-/** What a router's connections are made with. */
+/** Certificates, agents and clients for a router's connections. */
 export interface Network {
   readonly certificates: Certificates
   readonly traffic: TrafficMeter
@@ -16,7 +16,7 @@
   readonly peerClient: PeerClient
 }
 
-/** Creates certificates, agents and the meter of control traffic. */
+/** Creates the certificates, agents, peer client and traffic meter. */
 export function createNetwork(
   settings: ResolvedSettings,
   logger: ConsolaInstance,
--- a/packages/daemon/src/node/security/secretSchema.ts
+++ b/packages/daemon/src/node/security/secretSchema.ts
@@ -4,7 +4,7 @@
 
 const EXPECTED = `expected at least ${MIN_SECRET_LENGTH} characters, or {"file": PATH} with a file that holds them`
 
-/** Checks a secret that stands in the settings or in a file of its own. */
+/** Validates a secret given inline in the settings or in a separate file. */
 export const secretSchema = z
   .union([z.string(), z.strictObject({ file: z.string().min(1) })], {
     error: EXPECTED,
