--- a/packages/daemon/src/node/admin/__tests__/adminApi.test.ts
+++ b/packages/daemon/src/node/admin/__tests__/adminApi.test.ts
@@ -21,11 +21,11 @@
   const get = (path: string) => callAdmin(fleet, { path })
   const post = (path: string, body?: unknown) =>
     callAdmin(fleet, { method: 'POST', path, body })
-  const versionInForce = async (): Promise<number> => {
+  const activeVersion = async (): Promise<number> => {
     const { body } = await get('/config')
     return body.version
   }
-  const chats = (key: string) => callChat(fleet.callerUrl(), key, 'voyage')
+  const chatWith = (key: string) => callChat(fleet.callerUrl(), key, 'voyage')
 
   it('shows the configuration without salts and hashes', async () => {
     const { status, body } = await get('/config')
@@ -35,8 +35,8 @@
     assert.deepEqual(corrib?.keys, { bridge: hidden })
   })
 
-  it('answers validate without changing anything', async () => {
-    const version = await versionInForce()
+  it('validates a patch without applying it', async () => {
+    const version = await activeVersion()
     const wrong = [{ op: 'replace', path: '/defaultRank', value: 99 }]
     const refused = await post('/config/validate', { operations: wrong })
     assert.equal(refused.body.kind, 'invalid')
@@ -44,11 +44,11 @@
     const right = [{ op: 'replace', path: '/defaultRank', value: 4 }]
     const fine = await post('/config/validate', { operations: right })
     assert.equal(fine.body.kind, 'applied')
-    assert.equal(await versionInForce(), version)
+    assert.equal(await activeVersion(), version)
   })
 
-  it('shows authors in the history and the operations in a diff', async () => {
-    const version = await versionInForce()
+  it('shows authors in the history and operations in a diff', async () => {
+    const version = await activeVersion()
     const operations = [{ op: 'replace', path: '/defaultRank', value: 6 }]
     const author = 'night-shift'
     const base = { baseVersion: version, author, operations }
@@ -63,8 +63,8 @@
     assert.doesNotMatch(JSON.stringify(first.body), /[0-9a-f]{64}/)
   })
 
-  it('offers to rebase a patch that lost a race on other paths', async () => {
-    const version = await versionInForce()
+  it('reports whether a conflicting patch can be rebased', async () => {
+    const version = await activeVersion()
     const rule = (id: string, rank: number) => ({
       baseVersion: version,
       operations: [{ op: 'add', path: `/rules/${id}`, value: { rank } }],
@@ -81,10 +81,10 @@
     })
   })
 
-  it('gives the same outcome when a patch is submitted twice', async () => {
+  it('returns the same outcome when a patch is submitted twice', async () => {
     const patch = {
       patchId: 'submitted-twice',
-      baseVersion: await versionInForce(),
+      baseVersion: await activeVersion(),
       operations: [{ op: 'replace', path: '/defaultRank', value: 7 }],
     }
     const first = await post('/config/patches', patch)
@@ -95,8 +95,8 @@
     assert.equal(asked.body.version, first.body.version)
   })
 
-  it('lets only one of two racing patches win, through two routers', async () => {
-    const baseVersion = await versionInForce()
+  it('applies only one of two concurrent patches submitted to two routers', async () => {
+    const baseVersion = await activeVersion()
     const submit = (router: number) =>
       callAdmin(fleet, {
         method: 'POST',
@@ -111,8 +111,8 @@
       const status = await get('/config/status')
       return status.body.everywhere
     })
-    const replies = await Promise.all([submit(0), submit(1)])
-    const statuses = replies.map((reply) => reply.status).sort()
+    const responses = await Promise.all([submit(0), submit(1)])
+    const statuses = responses.map((response) => response.status).sort()
     assert.deepEqual(statuses, [200, 409])
   })
 
@@ -120,20 +120,20 @@
     const path = '/customers/corrib/keys'
     const created = await post(path, { keyId: 'agents' })
     const oldKey = created.body.key
-    assert.equal((await chats(oldKey)).status, 200)
+    assert.equal((await chatWith(oldKey)).status, 200)
     const rotated = await post(`${path}/agents/rotate`, { overlapS: 60 })
     const newKey = rotated.body.key
     assert.equal(rotated.body.keyId, 'agents.2')
-    assert.equal((await chats(oldKey)).status, 200, 'within the overlap')
-    assert.equal((await chats(newKey)).status, 200)
+    assert.equal((await chatWith(oldKey)).status, 200, 'within the overlap')
+    assert.equal((await chatWith(newKey)).status, 200)
     const ended = await post(`${path}/agents/rotate`, { overlapS: 0 })
     assert.equal(ended.body.keyId, 'agents.3')
-    assert.equal((await chats(oldKey)).status, 401, 'after the overlap')
+    assert.equal((await chatWith(oldKey)).status, 401, 'after the overlap')
     await callAdmin(fleet, { method: 'DELETE', path: `${path}/agents.2` })
-    assert.equal((await chats(newKey)).status, 401, 'revoked')
+    assert.equal((await chatWith(newKey)).status, 401, 'revoked')
   })
 
-  it('changes an entry and keeps the keys that nobody can send back', async () => {
+  it('preserves the redacted keys when an entry is replaced', async () => {
     const changed = await callAdmin(fleet, {
       method: 'PUT',
       path: '/customers/corrib',
@@ -142,7 +142,7 @@
     assert.equal(changed.status, 200)
     const shown = await get('/customers/corrib')
     assert.equal(shown.body.weight, 3)
-    assert.equal((await chats(fleet.callerKey)).status, 200)
+    assert.equal((await chatWith(fleet.callerKey)).status, 200)
   })
 
   it('marks a target as draining', async () => {
@@ -156,16 +156,16 @@
     await post('/targets/charts-1/undrain')
   })
 
-  it('says where a chat would go, and it goes there', async () => {
+  it('explains which target a chat is routed to', async () => {
     const where = await get('/chats/voyage-9')
-    const [place] = where.body as unknown as { target: string }[]
+    const [location] = where.body as unknown as { target: string }[]
     const key = fleet.callerKey
-    const answer = await callChat(fleet.callerUrl(), key, 'voyage-9')
-    assert.equal(answer.headers[TARGET_HEADER], place?.target)
+    const response = await callChat(fleet.callerUrl(), key, 'voyage-9')
+    assert.equal(response.headers[TARGET_HEADER], location?.target)
     const why = await get(
       '/explain?service=briefing&customer=corrib&chat=voyage-9',
     )
-    assert.equal(why.body.chosen, place?.target)
+    assert.equal(why.body.chosen, location?.target)
     assert.equal(why.body.candidates.length, 2)
     assert.equal((await get('/explain?service=nothing')).status, 404)
     assert.equal((await get('/explain')).status, 400)
@@ -180,7 +180,7 @@
     assert.equal((routers.body as unknown as unknown[]).length, 2)
   })
 
-  it('names paths, methods and fields that are wrong', async () => {
+  it('rejects unknown paths, wrong methods and invalid fields', async () => {
     assert.equal((await get('/nowhere')).status, 404)
     assert.equal((await post('/routers')).status, 405)
     assert.equal((await get('/config/diff?from=x')).status, 400)
@@ -189,16 +189,16 @@
     assert.match(missing.body.error.message, /baseVersion/)
   })
 
-  it('says unknown while the log is down, and asks again later', async () => {
+  it('does not report a patch as applied while the log is down', async () => {
     fleet.log.faults.outage = true
     try {
       const patch = {
         patchId: 'during-outage',
-        baseVersion: await versionInForce(),
+        baseVersion: await activeVersion(),
         operations: [{ op: 'replace', path: '/defaultRank', value: 2 }],
       }
-      const reply = await post('/config/patches', patch)
-      assert.ok([503, 504].includes(reply.status), String(reply.status))
+      const response = await post('/config/patches', patch)
+      assert.ok([503, 504].includes(response.status), String(response.status))
     } finally {
       fleet.log.faults.outage = false
     }
--- a/packages/daemon/src/node/admin/__tests__/callAdmin.ts
+++ b/packages/daemon/src/node/admin/__tests__/callAdmin.ts
@@ -1,18 +1,18 @@
 import { requestJson } from '@auburnbay/http-utils'
 import { type Fleet, TEST_ADMIN_TOKEN } from '../../__tests__/startFleet.js'
 
-/** An administration call of a test. */
+/** A request to the administration API. */
 export interface AdminTestCall {
   readonly method?: string
   readonly path: string
   /** @default the bootstrap owner's token */
   readonly token?: string
   readonly body?: unknown
-  /** @default 0 */
+  /** Index of the router. @default 0 */
   readonly router?: number
 }
 
-/** Fields that tests look at; each answer has some of them. */
+/** Fields that tests read; each response has some of them. */
 export interface AdminTestBody {
   readonly version: number
   readonly configuration: {
@@ -39,8 +39,8 @@
   readonly error: { readonly code: string; readonly message: string }
 }
 
-/** An answer to a test's call. */
-export interface AdminTestReply {
+/** Response to an {@link AdminTestCall}. */
+export interface AdminTestResponse {
   readonly status: number
   readonly body: AdminTestBody
 }
@@ -51,14 +51,14 @@
 export async function callAdmin(
   fleet: Fleet,
   call: AdminTestCall,
-): Promise<AdminTestReply> {
+): Promise<AdminTestResponse> {
   const { token = TEST_ADMIN_TOKEN, router = 0, method = 'GET' } = call
-  const reply = await requestJson({
+  const response = await requestJson({
     method,
     url: `${fleet.adminUrl(router)}${call.path}`,
     headers: token === '' ? {} : { authorization: `Bearer ${token}` },
     body: call.body,
     timeoutMs: TIMEOUT_MS,
   })
-  return reply._unsafeUnwrap() as AdminTestReply
+  return response._unsafeUnwrap() as AdminTestResponse
 }
--- a/packages/daemon/src/node/admin/__tests__/teams.test.ts
+++ b/packages/daemon/src/node/admin/__tests__/teams.test.ts
@@ -14,8 +14,8 @@
   before(async () => {
     fleet = await startFleet({ engines: 1 })
     const put = async (path: string, body: unknown): Promise<void> => {
-      const reply = await callAdmin(fleet, { method: 'PUT', path, body })
-      assert.equal(reply.status, 200, JSON.stringify(reply.body))
+      const response = await callAdmin(fleet, { method: 'PUT', path, body })
+      assert.equal(response.status, 200, JSON.stringify(response.body))
     }
     await put('/teams/ice', { quotas: { maxCustomers: 1 } })
     await put('/teams/labour', {})
@@ -29,22 +29,22 @@
     for (const [id = '', team, role] of operators) {
       const body = { id, team, role }
       const path = '/operators'
-      const made = await callAdmin(fleet, { method: 'POST', path, body })
-      assert.equal(made.status, 200, JSON.stringify(made.body))
-      tokens[id] = made.body.token
+      const created = await callAdmin(fleet, { method: 'POST', path, body })
+      assert.equal(created.status, 200, JSON.stringify(created.body))
+      tokens[id] = created.body.token
     }
     const expired = {
-      id: 'late',
+      id: 'expired',
       team: 'ice',
       role: 'owner',
       expiresInS: 0.001,
     }
-    const made = await callAdmin(fleet, {
+    const created = await callAdmin(fleet, {
       method: 'POST',
       path: '/operators',
       body: expired,
     })
-    tokens.late = made.body.token
+    tokens.expired = created.body.token
   })
 
   after(() => fleet.stop())
@@ -57,7 +57,7 @@
       body: { team: id === 'firm' ? 'labour' : 'ice', weight: 2 },
     })
 
-  it('lets an editor change its own customer and names it in the log', async () => {
+  it('lets an editor change a customer of its team and records it as the author', async () => {
     const changed = await putCustomer('bridge', tokens['ice-editor'])
     assert.equal(changed.status, 200)
     const path = '/config/history?limit=1'
@@ -66,45 +66,45 @@
     assert.equal(history.body.entries[0].operator, 'ice-editor')
   })
 
-  it('does not let an operator take another name', async () => {
+  it('does not let an operator set another author', async () => {
     const { body } = await callAdmin(fleet, { path: '/config' })
     const operations = [
       { op: 'add', path: '/customers/bridge/weight', value: 4 },
     ]
-    const reply = await callAdmin(fleet, {
+    const response = await callAdmin(fleet, {
       method: 'POST',
       path: '/config/patches',
       token: tokens['ice-editor'],
       body: { baseVersion: body.version, author: 'ice-owner', operations },
     })
-    assert.equal(reply.status, 200)
+    assert.equal(response.status, 200)
     const path = '/config/history?limit=1'
     const history = await callAdmin(fleet, { path })
     assert.equal(history.body.entries[0]?.author, 'ice-editor')
   })
 
-  const doors: [string, string, number][] = [
+  const forbiddenChanges: [string, string, number][] = [
     ['ice-viewer', 'bridge', 403],
     ['ice-editor', 'firm', 403],
     ['ice-owner', 'firm', 403],
-    ['late', 'bridge', 401],
+    ['expired', 'bridge', 401],
   ]
-  for (const [operator, customer, status] of doors) {
-    it(`refuses ${operator} on ${customer} with ${status}`, async () => {
+  for (const [operator, customer, status] of forbiddenChanges) {
+    it(`rejects a change of ${customer} by ${operator} with ${status}`, async () => {
       const length = fleet.log.stream('configuration').nextOffset
-      const reply = await putCustomer(customer, tokens[operator])
-      assert.equal(reply.status, status)
+      const response = await putCustomer(customer, tokens[operator])
+      assert.equal(response.status, status)
       assert.equal(fleet.log.stream('configuration').nextOffset, length)
     })
   }
 
-  it('keeps the quota of customers', async () => {
-    const reply = await putCustomer('second', tokens['ice-owner'])
-    assert.equal(reply.status, 422)
-    assert.match(reply.body.error.message, /maxCustomers/)
+  it('enforces the quota of customers', async () => {
+    const response = await putCustomer('second', tokens['ice-owner'])
+    assert.equal(response.status, 422)
+    assert.match(response.body.error.message, /maxCustomers/)
   })
 
-  it('lets an owner create operators in its own team alone', async () => {
+  it('lets an owner create operators only in its own team', async () => {
     const create = (id: string, team: string) =>
       callAdmin(fleet, {
         method: 'POST',
@@ -116,20 +116,20 @@
     assert.equal((await create('spy', 'labour')).status, 403)
   })
 
-  it('shuts out an operator whose token was rotated or removed', async () => {
+  it('rejects an operator whose token was rotated or who was removed', async () => {
     const old = tokens['ice-viewer']
     const path = '/operators/ice-viewer/rotate'
     const rotated = await callAdmin(fleet, { method: 'POST', path, body: {} })
     const read = (token = '') => callAdmin(fleet, { path: '/customers', token })
     assert.equal((await read(old)).status, 401)
-    const fresh = rotated.body.token
-    assert.equal((await read(fresh)).status, 200)
+    const renewed = rotated.body.token
+    assert.equal((await read(renewed)).status, 200)
     const entry = '/operators/ice-viewer'
     await callAdmin(fleet, { method: 'DELETE', path: entry })
-    assert.equal((await read(fresh)).status, 401)
+    assert.equal((await read(renewed)).status, 401)
   })
 
-  it('refuses on the log what a router let pass', async () => {
+  it('rejects a forbidden patch that was appended to the log directly', async () => {
     const { body } = await callAdmin(fleet, { path: '/config' })
     const version = body.version
     const stream = fleet.log.stream('configuration')
--- a/packages/daemon/src/node/admin/adminErrorCode.ts
+++ b/packages/daemon/src/node/admin/adminErrorCode.ts
@@ -1,4 +1,4 @@
-/** Names the cause of a refused administration call; sent as `error.code`. */
+/** Cause of an error response of the administration API, sent as `error.code`. */
 export enum AdminErrorCode {
   BadRequest = 'bad-request',
   MissingToken = 'missing-token',
@@ -9,7 +9,7 @@
   Conflict = 'conflict',
   Invalid = 'invalid',
   TooLarge = 'too-large',
-  /** The log did not confirm the change; it may come into force. */
+  /** The log did not confirm the change, which may still be applied. */
   Unknown = 'unknown',
   LogUnavailable = 'log-unavailable',
   Unsupported = 'unsupported',
--- a/packages/daemon/src/node/admin/adminReplies.ts
+++ b/packages/daemon/src/node/admin/adminResponses.ts
@@ -1,7 +1,7 @@
 import { AdminErrorCode } from './adminErrorCode.js'
-import type { AdminReply } from './adminRoute.js'
+import type { AdminResponse } from './adminRoute.js'
 
-const STATUS: Readonly<Record<AdminErrorCode, number>> = {
+const STATUS_BY_CODE: Readonly<Record<AdminErrorCode, number>> = {
   [AdminErrorCode.BadRequest]: 400,
   [AdminErrorCode.MissingToken]: 401,
   [AdminErrorCode.WrongToken]: 401,
@@ -17,19 +17,19 @@
   [AdminErrorCode.Internal]: 500,
 }
 
-/** Creates a successful answer. */
-export function reply(body: unknown): AdminReply {
+/** Creates a response with status 200. */
+export function createResponse(body: unknown): AdminResponse {
   return { status: 200, body }
 }
 
-/** Creates a refusal; `details` stand beside the error. */
-export function refuse(
+/** Creates an error response; `details` are added beside `error` in the body. */
+export function createErrorResponse(
   code: AdminErrorCode,
   message: string,
   details: object = {},
-): AdminReply {
+): AdminResponse {
   return {
-    status: STATUS[code],
+    status: STATUS_BY_CODE[code],
     body: { ...details, error: { code, message } },
   }
 }
--- a/packages/daemon/src/node/admin/adminRoute.ts
+++ b/packages/daemon/src/node/admin/adminRoute.ts
@@ -1,27 +1,27 @@
 import type { Actor, Role } from '@auburnbay/core'
 
-/** One authenticated call of the administration API. */
+/** An authenticated request to the administration API. */
 export interface AdminCall {
   readonly actor: Actor
-  /** Values of the path's `:name` parts. */
+  /** Values of the path's `:name` parameters, decoded. */
   readonly params: Readonly<Record<string, string>>
   readonly query: URLSearchParams
-  /** The JSON body; undefined without one. */
+  /** The parsed JSON body; undefined when the request has none. */
   readonly body: unknown
 }
 
-/** The answer to a call. */
-export interface AdminReply {
+/** Status and JSON body of a response. */
+export interface AdminResponse {
   readonly status: number
   readonly body: unknown
 }
 
-/** One path of the administration API. */
+/** A method and path of the administration API with their handler. */
 export interface AdminRoute {
   readonly method: 'DELETE' | 'GET' | 'POST' | 'PUT'
-  /** Path with `:name` for parts that vary. */
+  /** Path with `:name` parameters. */
   readonly path: string
-  /** The least role that may call it. */
+  /** Minimum role of the operator. */
   readonly role: Role
-  handle(call: AdminCall): AdminReply | Promise<AdminReply>
+  handle(call: AdminCall): AdminResponse | Promise<AdminResponse>
 }
--- a/packages/daemon/src/node/admin/adminParts.ts
+++ b/packages/daemon/src/node/admin/adminServerOptions.ts
@@ -7,14 +7,14 @@
 import type { Certificates } from '../security/createCertificates.js'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 
-/** What the administration API works with. */
-export interface AdminParts {
+/** Options for `createAdminServer`. */
+export interface AdminServerOptions {
   readonly settings: ResolvedSettings
   readonly log: LogClient
   readonly tailer: ConfigurationTailer
   readonly membership: Membership
   readonly routing: Routing
-  /** This router as its peers see it. */
+  /** Returns the heartbeat that this router sends to its peers. */
   readonly self: () => Heartbeat
   readonly logger: ConsolaInstance
   readonly certificates: Certificates
--- a/packages/daemon/src/node/admin/createAdminRoutes.ts
+++ b/packages/daemon/src/node/admin/createAdminRoutes.ts
@@ -1,28 +1,28 @@
-import type { AdminParts } from './adminParts.js'
+import type { AdminServerOptions } from './adminServerOptions.js'
 import type { AdminRoute } from './adminRoute.js'
-import { createConfigurationWriter } from './configurationWriter.js'
-import { createConfigurationRoutes } from './routes/configurationRoutes.js'
-import { createDrainRoutes } from './routes/drainRoutes.js'
-import { createExplainRoutes } from './routes/explainRoutes.js'
-import { createFleetRoutes } from './routes/fleetRoutes.js'
-import { createHistoryRoutes } from './routes/historyRoutes.js'
-import { createKeyRoutes } from './routes/keyRoutes.js'
-import { createOperatorRoutes } from './routes/operatorRoutes.js'
-import { createPatchRoutes } from './routes/patchRoutes.js'
-import { createSectionRoutes } from './routes/sectionRoutes.js'
+import { createConfigurationWriter } from './createConfigurationWriter.js'
+import { createConfigurationRoutes } from './routes/createConfigurationRoutes.js'
+import { createDrainRoutes } from './routes/createDrainRoutes.js'
+import { createExplainRoutes } from './routes/createExplainRoutes.js'
+import { createFleetRoutes } from './routes/createFleetRoutes.js'
+import { createHistoryRoutes } from './routes/createHistoryRoutes.js'
+import { createKeyRoutes } from './routes/createKeyRoutes.js'
+import { createOperatorRoutes } from './routes/createOperatorRoutes.js'
+import { createPatchRoutes } from './routes/createPatchRoutes.js'
+import { createSectionRoutes } from './routes/createSectionRoutes.js'
 
-/** Returns every path of the administration API. */
-export function createAdminRoutes(parts: AdminParts): AdminRoute[] {
-  const writer = createConfigurationWriter(parts.log, parts.tailer)
+/** Creates all routes of the administration API. */
+export function createAdminRoutes(options: AdminServerOptions): AdminRoute[] {
+  const writer = createConfigurationWriter(options.log, options.tailer)
   return [
-    ...createConfigurationRoutes(parts),
-    ...createPatchRoutes(parts, writer),
-    ...createHistoryRoutes(parts),
-    ...createFleetRoutes(parts),
-    ...createExplainRoutes(parts),
+    ...createConfigurationRoutes(options),
+    ...createPatchRoutes(options, writer),
+    ...createHistoryRoutes(options),
+    ...createFleetRoutes(options),
+    ...createExplainRoutes(options),
     ...createDrainRoutes(writer),
-    ...createKeyRoutes(parts, writer),
-    ...createOperatorRoutes(parts, writer),
-    ...createSectionRoutes(parts, writer),
+    ...createKeyRoutes(options, writer),
+    ...createOperatorRoutes(options, writer),
+    ...createSectionRoutes(options, writer),
   ]
 }
--- a/packages/daemon/src/node/admin/createAdminServer.ts
+++ b/packages/daemon/src/node/admin/createAdminServer.ts
@@ -9,43 +9,45 @@
 } from '@auburnbay/http-utils'
 import { err, ok, type Result } from 'neverthrow'
 import { AdminErrorCode } from './adminErrorCode.js'
-import type { AdminParts } from './adminParts.js'
-import { refuse } from './adminReplies.js'
-import type { AdminReply } from './adminRoute.js'
+import type { AdminServerOptions } from './adminServerOptions.js'
+import { createErrorResponse } from './adminResponses.js'
+import type { AdminResponse } from './adminRoute.js'
 import { authenticateOperator } from './authenticateOperator.js'
 import { createAdminRoutes } from './createAdminRoutes.js'
-import { matchRoutes } from './matchRoute.js'
+import { matchRoutes } from './matchRoutes.js'
 
-/** The listener for operators. */
+/** HTTP server of the administration API. */
 export interface AdminServer {
   readonly address: ListenAddress
   stop(): Promise<void>
 }
 
-/** Starts listening for operators. */
+/** Creates the administration server and starts to listen. */
 export async function createAdminServer(
-  parts: AdminParts,
+  options: AdminServerOptions,
 ): Promise<AdminServer> {
-  const { settings, tailer } = parts
-  const routes = createAdminRoutes(parts)
+  const { settings, tailer } = options
+  const routes = createAdminRoutes(options)
 
   async function readJson(
     req: IncomingMessage,
-  ): Promise<Result<unknown, AdminReply>> {
+  ): Promise<Result<unknown, AdminResponse>> {
     const body = await readBody(req, settings.callers.maxBodyBytes)
     if (body.isErr()) {
       const message = `the body is over ${settings.callers.maxBodyBytes} bytes or was cut off`
-      return err(refuse(AdminErrorCode.TooLarge, message))
+      return err(createErrorResponse(AdminErrorCode.TooLarge, message))
     }
     const text = body.value.toString('utf8')
     try {
       return ok(text === '' ? undefined : (JSON.parse(text) as unknown))
     } catch {
-      return err(refuse(AdminErrorCode.BadRequest, 'the body is not JSON'))
+      return err(
+        createErrorResponse(AdminErrorCode.BadRequest, 'the body is not JSON'),
+      )
     }
   }
 
-  async function answer(req: IncomingMessage): Promise<AdminReply> {
+  async function handle(req: IncomingMessage): Promise<AdminResponse> {
     const { pathname, searchParams } = new URL(req.url ?? '/', 'http://admin')
     const { configuration } = tailer.state
     const { admin } = settings.secrets
@@ -54,18 +56,18 @@
     const matches = matchRoutes(routes, pathname)
     if (matches.length === 0) {
       const message = 'unknown path; see docs/admin-api.md'
-      return refuse(AdminErrorCode.NotFound, message)
+      return createErrorResponse(AdminErrorCode.NotFound, message)
     }
     const match = matches.find(({ route }) => route.method === req.method)
     if (!match) {
       const methods = matches.map(({ route }) => route.method).join(', ')
       const message = `this path takes ${methods}`
-      return refuse(AdminErrorCode.MethodNotAllowed, message)
+      return createErrorResponse(AdminErrorCode.MethodNotAllowed, message)
     }
     const { route, params } = match
     if (!includesRole(actor.value.role, route.role)) {
       const message = `operator ${actor.value.id} is ${actor.value.role}; this call needs the role ${route.role}`
-      return refuse(AdminErrorCode.Forbidden, message)
+      return createErrorResponse(AdminErrorCode.Forbidden, message)
     }
     const body = await readJson(req)
     if (body.isErr()) return body.error
@@ -81,13 +83,13 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
-    const { status, body } = await answer(req)
-    // An unread body would be taken for the next request.
-    const closes = status >= 400 && !req.complete
-    sendJson(res, status, body, closes ? { connection: 'close' } : {})
+    const { status, body } = await handle(req)
+    // An unread body would be parsed as the next request on the connection.
+    const closeConnection = status >= 400 && !req.complete
+    sendJson(res, status, body, closeConnection ? { connection: 'close' } : {})
   }
 
-  const server = parts.certificates.createServer(
+  const server = options.certificates.createServer(
     {
       maxHeaderSize: settings.callers.maxHeaderBytes,
       headersTimeout: settings.callers.headersTimeoutMs,
@@ -95,11 +97,11 @@
     },
     (req, res) => {
       serve(req, res).catch((error: unknown) => {
-        parts.logger.error(`A call failed: ${String(error)}.`)
+        options.logger.error(`Request failed: ${String(error)}.`)
         const message = 'the router failed; see its log'
-        const failed = refuse(AdminErrorCode.Internal, message)
+        const failure = createErrorResponse(AdminErrorCode.Internal, message)
         if (res.headersSent) res.destroy()
-        else sendJson(res, failed.status, failed.body)
+        else sendJson(res, failure.status, failure.body)
       })
     },
     settings.listen.admin.tls,
--- a/packages/daemon/src/node/admin/configurationWriter.ts
+++ b/packages/daemon/src/node/admin/createConfigurationWriter.ts
@@ -17,38 +17,39 @@
 import type { ConfigurationTailer } from '../configuration/createConfigurationTailer.js'
 import type { LogClient } from '../logService/logClient.js'
 import { AdminErrorCode } from './adminErrorCode.js'
-import { refuse } from './adminReplies.js'
-import type { AdminReply } from './adminRoute.js'
-import { type HistoryEntry, readHistory } from './configurationHistory.js'
+import { createErrorResponse } from './adminResponses.js'
+import type { AdminResponse } from './adminRoute.js'
+import { type HistoryEntry, readHistory } from './readHistory.js'
 import { SubmissionKind, submitPatch } from './submitPatch.js'
 
-/** A change as an operator asks for it. */
+/** A configuration change requested by an operator. */
 export interface ChangeRequest {
-  /** @default a new id */
+  /** @default a random id */
   readonly patchId?: string
   readonly baseVersion: number
-  /** Name in the history of the bootstrap owner's changes. @default "admin" */
+  /** Author in the history; used only for the bootstrap owner. @default "admin" */
   readonly author?: string
   readonly operations: PatchRecord['operations']
 }
 
-/** Puts operators' changes on the log. */
+/** Validates operators' changes and appends them to the log. */
 export interface ConfigurationWriter {
-  /** Decides a change against the version in force without submitting it. */
+  /** Evaluates a change against the active version without submitting it. */
   validate(actor: Actor, change: ChangeRequest): PatchOutcome
-  /** Submits a change; the error is the answer for the operator. */
+  /** Submits a change; the error is the response to the operator. */
   submit(
     actor: Actor,
     change: ChangeRequest,
-  ): Promise<Result<PatchOutcome, AdminReply>>
-  /** Submits what `operations` makes of the version in force, again after a lost race. */
+  ): Promise<Result<PatchOutcome, AdminResponse>>
+  /** Submits operations computed from the active version; retries on conflict. */
   update(
     actor: Actor,
     operations: (cfg: Configuration) => PatchRecord['operations'],
-  ): Promise<Result<PatchOutcome, AdminReply>>
+  ): Promise<Result<PatchOutcome, AdminResponse>>
 }
 
-const MAX_UPDATE_TRIES = 5
+/** Submissions per update, including the first one. */
+const MAX_UPDATE_ATTEMPTS = 5
 
 function toRecord(actor: Actor, change: ChangeRequest): PatchRecord {
   return {
@@ -67,7 +68,7 @@
   return { version, author, atMs, operations: redactOperations(operations) }
 }
 
-/** Creates the writer of one router. */
+/** Creates the configuration writer of a router. */
 export function createConfigurationWriter(
   log: LogClient,
   tailer: ConfigurationTailer,
@@ -85,17 +86,17 @@
   async function describeConflict(
     record: PatchRecord,
     outcome: PatchOutcome,
-  ): Promise<AdminReply> {
+  ): Promise<AdminResponse> {
     const history = await readHistory(log, tailer, record.baseVersion)
-    const known = history.isOk() && history.value.complete
+    const isComplete = history.isOk() && history.value.complete
     const entries = history.isOk() ? history.value.entries : []
     const theirs = entries.flatMap((entry) => entry.operations)
-    const offer = checkRebase(record.operations, theirs)
+    const check = checkRebase(record.operations, theirs)
     const message = `version ${tailer.state.version} came into force first; read it and submit the patch again against it`
-    return refuse(AdminErrorCode.Conflict, message, {
+    return createErrorResponse(AdminErrorCode.Conflict, message, {
       ...outcome,
       version: tailer.state.version,
-      rebase: { ...offer, possible: known && offer.possible },
+      rebase: { ...check, possible: isComplete && check.possible },
       changes: entries.map(describeEntry),
     })
   }
@@ -104,21 +105,25 @@
     actor: Actor,
     record: PatchRecord,
     outcome: PatchOutcome,
-  ): AdminReply {
+  ): AdminResponse {
     const before = tailer.state.configuration
     const patched = applyOperations(before, record.operations)
     const after = configurationSchema.safeParse(patched.unwrapOr(undefined))
-    const refused =
+    const isForbidden =
       after.success && authorizeChange(before, after.data, actor) !== undefined
-    const code = refused ? AdminErrorCode.Forbidden : AdminErrorCode.Invalid
-    return refuse(code, outcome.reason ?? 'the patch is not valid', outcome)
+    const code = isForbidden ? AdminErrorCode.Forbidden : AdminErrorCode.Invalid
+    return createErrorResponse(
+      code,
+      outcome.reason ?? 'the patch is not valid',
+      outcome,
+    )
   }
 
-  async function toResult(
+  async function createResult(
     actor: Actor,
     record: PatchRecord,
     outcome: PatchOutcome,
-  ): Promise<Result<PatchOutcome, AdminReply>> {
+  ): Promise<Result<PatchOutcome, AdminResponse>> {
     switch (outcome.kind) {
       case PatchOutcomeKind.Applied:
       case PatchOutcomeKind.Duplicate:
@@ -133,39 +138,40 @@
   async function submit(
     actor: Actor,
     change: ChangeRequest,
-  ): Promise<Result<PatchOutcome, AdminReply>> {
+  ): Promise<Result<PatchOutcome, AdminResponse>> {
     const record = toRecord(actor, change)
     const { state } = tailer
     const known = state.outcomes.get(record.patchId)
-    if (known) return toResult(actor, record, known)
-    // A base that this router has not reached yet may still win on the log.
+    if (known) return createResult(actor, record, known)
+    // A patch based on a version that this router has not read yet may still be
+    // applied, so it is not rejected before it is on the log.
     const expected = dryRun(record)
-    const decided =
+    const isRejected =
       record.baseVersion <= state.version &&
       expected.kind !== PatchOutcomeKind.Applied
-    if (decided) return toResult(actor, record, expected)
+    if (isRejected) return createResult(actor, record, expected)
     const submission = await submitPatch(log, tailer, record)
     if (submission.kind === SubmissionKind.Decided)
-      return toResult(actor, record, submission.outcome)
+      return createResult(actor, record, submission.outcome)
     const { patchId } = record
     const code =
       submission.kind === SubmissionKind.NotAppended
         ? AdminErrorCode.LogUnavailable
         : AdminErrorCode.Unknown
-    return err(refuse(code, submission.message, { patchId }))
+    return err(createErrorResponse(code, submission.message, { patchId }))
   }
 
   return {
     validate: (actor, change) => dryRun(toRecord(actor, change)),
     submit,
     async update(actor, operations) {
-      for (let tries = 1; ; tries += 1) {
+      for (let attempts = 1; ; attempts += 1) {
         const { version, configuration } = tailer.state
         const result = await submit(actor, {
           baseVersion: version,
           operations: operations(configuration),
         })
-        if (result.isOk() || tries >= MAX_UPDATE_TRIES) return result
+        if (result.isOk() || attempts >= MAX_UPDATE_ATTEMPTS) return result
         if (result.error.status !== 409) return result
       }
     },
--- a/packages/daemon/src/node/admin/findOutcome.ts
+++ b/packages/daemon/src/node/admin/findOutcome.ts
@@ -1,7 +1,7 @@
 import type { PatchOutcome } from '@auburnbay/core'
 import type { ConfigurationTailer } from '../configuration/createConfigurationTailer.js'
 
-/** Looks a patch up, reading the log once more for one not seen yet. */
+/** Returns the outcome of a patch; refreshes the tailer if it is not known yet. */
 export async function findOutcome(
   tailer: ConfigurationTailer,
   patchId: string,
--- a/packages/daemon/src/node/admin/matchRoute.ts
+++ b/packages/daemon/src/node/admin/matchRoutes.ts
@@ -1,6 +1,6 @@
 import type { AdminRoute } from './adminRoute.js'
 
-/** A route that serves a path, with the values of its parameters. */
+/** A route that matches a path, with the values of its parameters. */
 export interface RouteMatch {
   readonly route: AdminRoute
   readonly params: Readonly<Record<string, string>>
@@ -31,7 +31,7 @@
   return params
 }
 
-/** Returns the routes of a path, whatever their method; fixed names come first. */
+/** Returns the routes of any method that match a path, fewest parameters first. */
 export function matchRoutes(
   routes: readonly AdminRoute[],
   path: string,
@@ -41,7 +41,7 @@
     const params = matchPath(route.path, path)
     if (params) matches.push({ route, params })
   }
-  const variable = ({ params }: RouteMatch): number =>
+  const parameterCount = ({ params }: RouteMatch): number =>
     Object.keys(params).length
-  return matches.sort((a, b) => variable(a) - variable(b))
+  return matches.sort((a, b) => parameterCount(a) - parameterCount(b))
 }
--- a/packages/daemon/src/node/admin/parseBody.ts
+++ b/packages/daemon/src/node/admin/parseBody.ts
@@ -1,18 +1,18 @@
 import { err, ok, type Result } from 'neverthrow'
 import type { z } from 'zod'
 import { AdminErrorCode } from './adminErrorCode.js'
-import { refuse } from './adminReplies.js'
-import type { AdminReply } from './adminRoute.js'
+import { createErrorResponse } from './adminResponses.js'
+import type { AdminResponse } from './adminRoute.js'
 
-/** Checks a body; the refusal names every wrong field. */
+/** Validates a body; the error response names every invalid field. */
 export function parseBody<T>(
   schema: z.ZodType<T>,
   body: unknown,
-): Result<T, AdminReply> {
+): Result<T, AdminResponse> {
   const parsed = schema.safeParse(body ?? {})
   if (parsed.success) return ok(parsed.data)
   const message = parsed.error.issues
     .map((issue) => `${issue.path.join('.') || 'body'}: ${issue.message}`)
     .join('; ')
-  return err(refuse(AdminErrorCode.BadRequest, message))
+  return err(createErrorResponse(AdminErrorCode.BadRequest, message))
 }
--- a/packages/daemon/src/node/admin/configurationHistory.ts
+++ b/packages/daemon/src/node/admin/readHistory.ts
@@ -8,7 +8,7 @@
 import type { ConfigurationTailer } from '../configuration/createConfigurationTailer.js'
 import type { LogClient, LogError, LogRecord } from '../logService/logClient.js'
 
-/** One applied patch with its author. */
+/** An applied patch with its author. */
 export interface HistoryEntry {
   readonly version: number
   readonly offset: number
@@ -21,10 +21,10 @@
   readonly operations: readonly { readonly path: string }[]
 }
 
-/** The applied patches that are still on the log, oldest first. */
+/** Applied patches that the log still holds, oldest first. */
 export interface ConfigurationHistory {
   readonly entries: readonly HistoryEntry[]
-  /** Whether no version after the one asked for is missing. */
+  /** Whether no version after the requested one is missing. */
   readonly complete: boolean
 }
 
@@ -41,7 +41,7 @@
   return { version, offset, atMs, author, operator, patchId, operations }
 }
 
-function appliedAfter(
+function findAppliedAfter(
   tailer: ConfigurationTailer,
   version: number,
 ): Map<number, PatchOutcome> {
@@ -53,14 +53,14 @@
   return applied
 }
 
-/** Reads the patches that led from `version` to the one in force. */
+/** Reads the patches applied after `version` from the log. */
 export async function readHistory(
   log: LogClient,
   tailer: ConfigurationTailer,
   version: number,
 ): Promise<Result<ConfigurationHistory, LogError>> {
   const { state } = tailer
-  const applied = appliedAfter(tailer, version)
+  const applied = findAppliedAfter(tailer, version)
   const entries: HistoryEntry[] = []
   let offset = Math.min(...applied.keys(), state.nextOffset)
   while (offset < state.nextOffset) {
--- a/packages/daemon/src/node/admin/routes/configurationRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createConfigurationRoutes.ts
@@ -1,12 +1,14 @@
 import { redactHashes, Role } from '@auburnbay/core'
-import type { AdminParts } from '../adminParts.js'
-import { reply } from '../adminReplies.js'
+import type { AdminServerOptions } from '../adminServerOptions.js'
+import { createResponse } from '../adminResponses.js'
 import { moveConfiguration } from '../moveConfiguration.js'
 import type { AdminRoute } from '../adminRoute.js'
 
-/** Paths that show the version in force here and on the other routers. */
-export function createConfigurationRoutes(parts: AdminParts): AdminRoute[] {
-  const { log, tailer, membership, self } = parts
+/** Routes that show the active configuration and each router's version, or move it. */
+export function createConfigurationRoutes(
+  options: AdminServerOptions,
+): AdminRoute[] {
+  const { log, tailer, membership, self } = options
   return [
     {
       method: 'GET',
@@ -14,7 +16,10 @@
       role: Role.Viewer,
       handle: () => {
         const { version, configuration } = tailer.state
-        return reply({ version, configuration: redactHashes(configuration) })
+        return createResponse({
+          version,
+          configuration: redactHashes(configuration),
+        })
       },
     },
     {
@@ -34,7 +39,7 @@
           ...heartbeat.configuration,
         }))
         const newest = Math.max(...routers.map((router) => router.version))
-        return reply({
+        return createResponse({
           version,
           newest,
           everywhere: routers.every((router) => router.version === newest),
@@ -51,7 +56,7 @@
       handle: async ({ actor }) => {
         const moved = await moveConfiguration(log, tailer, actor.id)
         if (moved.isErr()) return moved.error
-        return reply({ version: tailer.state.version })
+        return createResponse({ version: tailer.state.version })
       },
     },
   ]
--- a/packages/daemon/src/node/admin/routes/drainRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createDrainRoutes.ts
@@ -1,11 +1,11 @@
 import { joinPointer, Role } from '@auburnbay/core'
-import { reply } from '../adminReplies.js'
+import { createResponse } from '../adminResponses.js'
 import type { AdminRoute } from '../adminRoute.js'
-import type { ConfigurationWriter } from '../configurationWriter.js'
+import type { ConfigurationWriter } from '../createConfigurationWriter.js'
 
-/** Paths that take a target out of service and back in. */
+/** Routes that drain and undrain a target. */
 export function createDrainRoutes(writer: ConfigurationWriter): AdminRoute[] {
-  const setDraining = (path: string, value: boolean): AdminRoute => ({
+  const createRoute = (path: string, value: boolean): AdminRoute => ({
     method: 'POST',
     path,
     role: Role.Editor,
@@ -14,11 +14,11 @@
       const result = await writer.update(actor, () => [
         { op: 'add', path: field, value },
       ])
-      return result.isOk() ? reply(result.value) : result.error
+      return result.isOk() ? createResponse(result.value) : result.error
     },
   })
   return [
-    setDraining('/targets/:target/drain', true),
-    setDraining('/targets/:target/undrain', false),
+    createRoute('/targets/:target/drain', true),
+    createRoute('/targets/:target/undrain', false),
   ]
 }
--- a/packages/daemon/src/node/admin/routes/explainRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createExplainRoutes.ts
@@ -1,29 +1,29 @@
 import { findRank, Role, ServiceKind } from '@auburnbay/core'
 import { z } from 'zod'
 import { AdminErrorCode } from '../adminErrorCode.js'
-import type { AdminParts } from '../adminParts.js'
-import { refuse, reply } from '../adminReplies.js'
-import type { AdminReply, AdminRoute } from '../adminRoute.js'
+import type { AdminServerOptions } from '../adminServerOptions.js'
+import { createErrorResponse, createResponse } from '../adminResponses.js'
+import type { AdminResponse, AdminRoute } from '../adminRoute.js'
 import { parseBody } from '../parseBody.js'
 
-const explainQuery = z.object({
+const explainQuerySchema = z.object({
   service: z.string(),
   customer: z.string().default(''),
   chat: z.string().default(''),
   kind: z.string().default(''),
 })
-const whereQuery = z.object({
+const chatQuerySchema = z.object({
   service: z.string().optional(),
   customer: z.string().default(''),
 })
 
-/** Paths that say where a request would go and why. */
-export function createExplainRoutes(parts: AdminParts): AdminRoute[] {
-  const { routing, tailer } = parts
+/** Routes that explain which target a request would go to and why. */
+export function createExplainRoutes(options: AdminServerOptions): AdminRoute[] {
+  const { routing, tailer } = options
 
-  function unknownService(service: string): AdminReply {
+  function unknownService(service: string): AdminResponse {
     const message = `there is no service ${service}; list them with GET /services`
-    return refuse(AdminErrorCode.NotFound, message)
+    return createErrorResponse(AdminErrorCode.NotFound, message)
   }
 
   return [
@@ -32,16 +32,16 @@
       path: '/explain',
       role: Role.Viewer,
       handle: ({ query }) => {
-        const parsed = parseBody(explainQuery, Object.fromEntries(query))
+        const parsed = parseBody(explainQuerySchema, Object.fromEntries(query))
         if (parsed.isErr()) return parsed.error
         const { service, customer, chat, kind } = parsed.value
         const { configuration } = tailer.state
         if (!Object.hasOwn(configuration.services, service))
           return unknownService(service)
         const rankQuery = { service, customer, requestKind: kind }
-        return reply({
+        return createResponse({
           ...routing.explain(service, customer, chat),
-          router: parts.settings.router.id,
+          router: options.settings.router.id,
           rank: findRank(configuration, rankQuery),
         })
       },
@@ -51,7 +51,7 @@
       path: '/chats/:chat',
       role: Role.Viewer,
       handle: ({ params, query }) => {
-        const parsed = parseBody(whereQuery, Object.fromEntries(query))
+        const parsed = parseBody(chatQuerySchema, Object.fromEntries(query))
         if (parsed.isErr()) return parsed.error
         const { chat = '' } = params
         const { service, customer } = parsed.value
@@ -61,12 +61,17 @@
         const models = Object.entries(services)
           .filter(([, { kind }]) => kind === ServiceKind.Model)
           .map(([id]) => id)
-        const wanted = service === undefined ? models : [service]
-        return reply(
-          wanted.map((id) => {
-            const found = routing.explain(id, customer, chat)
-            const target = found.chosen ?? null
-            return { chat, service: id, target, hintSource: found.hintSource }
+        const serviceIds = service === undefined ? models : [service]
+        return createResponse(
+          serviceIds.map((id) => {
+            const explanation = routing.explain(id, customer, chat)
+            const target = explanation.chosen ?? null
+            return {
+              chat,
+              service: id,
+              target,
+              hintSource: explanation.hintSource,
+            }
           }),
         )
       },
--- a/packages/daemon/src/node/admin/routes/fleetRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createFleetRoutes.ts
@@ -1,11 +1,11 @@
 import { Role } from '@auburnbay/core'
-import type { AdminParts } from '../adminParts.js'
-import { reply } from '../adminReplies.js'
+import type { AdminServerOptions } from '../adminServerOptions.js'
+import { createResponse } from '../adminResponses.js'
 import type { AdminRoute } from '../adminRoute.js'
 
-/** Paths that show routers, and targets with their load. */
-export function createFleetRoutes(parts: AdminParts): AdminRoute[] {
-  const { tailer, membership, routing, self } = parts
+/** Routes that list the routers, and the targets with their load. */
+export function createFleetRoutes(options: AdminServerOptions): AdminRoute[] {
+  const { tailer, membership, routing, self } = options
   return [
     {
       method: 'GET',
@@ -13,7 +13,7 @@
       role: Role.Viewer,
       handle: () => {
         const own = { id: self().router, ageMs: 0, heartbeat: self() }
-        return reply(
+        return createResponse(
           [own, ...membership.livePeers()].map(({ id, ageMs, heartbeat }) => ({
             id,
             dataCentre: heartbeat.dataCentre,
@@ -34,7 +34,7 @@
         const loads = new Map(
           routing.status().map((status) => [status.id, status]),
         )
-        return reply(
+        return createResponse(
           Object.entries(targets).map(([id, target]) => ({
             ...target,
             draining: target.draining ?? false,
--- a/packages/daemon/src/node/admin/routes/operatorRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createOperatorRoutes.ts
@@ -1,42 +1,42 @@
 import { createOperatorToken, joinPointer, Role } from '@auburnbay/core'
 import { z } from 'zod'
 import { AdminErrorCode } from '../adminErrorCode.js'
-import type { AdminParts } from '../adminParts.js'
-import { refuse, reply } from '../adminReplies.js'
-import type { AdminReply, AdminRoute } from '../adminRoute.js'
-import type { ConfigurationWriter } from '../configurationWriter.js'
+import type { AdminServerOptions } from '../adminServerOptions.js'
+import { createErrorResponse, createResponse } from '../adminResponses.js'
+import type { AdminResponse, AdminRoute } from '../adminRoute.js'
+import type { ConfigurationWriter } from '../createConfigurationWriter.js'
 import { parseBody } from '../parseBody.js'
 
-/** Seconds that an operator's token works unless told otherwise: 90 days. */
-const DEFAULT_TOKEN_S = 7_776_000
+/** Seconds that an operator's token is valid by default: 90 days. */
+const DEFAULT_TOKEN_LIFETIME_S = 7_776_000
 const MS_PER_S = 1_000
 
-const expiresInS = z.number().positive().default(DEFAULT_TOKEN_S)
-const createBody = z.strictObject({
+const expiresInS = z.number().positive().default(DEFAULT_TOKEN_LIFETIME_S)
+const createBodySchema = z.strictObject({
   id: z.string(),
   team: z.string(),
   role: z.enum(Role),
   expiresInS,
 })
-const rotateBody = z.strictObject({ expiresInS })
+const rotateBodySchema = z.strictObject({ expiresInS })
 
-function newToken(operator: string, seconds: number) {
+function createToken(operator: string, lifetimeS: number) {
   const token = createOperatorToken(operator)
-  const expiresAtMs = Math.ceil(Date.now() + seconds * MS_PER_S)
+  const expiresAtMs = Math.ceil(Date.now() + lifetimeS * MS_PER_S)
   return { text: token.text, stored: { ...token.stored, expiresAtMs } }
 }
 
-/** Paths that create operators and give them new tokens. */
+/** Routes that create operators and rotate their tokens. */
 export function createOperatorRoutes(
-  { tailer }: AdminParts,
+  { tailer }: AdminServerOptions,
   writer: ConfigurationWriter,
 ): AdminRoute[] {
-  const has = (id: string): boolean =>
+  const exists = (id: string): boolean =>
     Object.hasOwn(tailer.state.configuration.operators, id)
 
-  function taken(id: string): AdminReply {
+  function conflict(id: string): AdminResponse {
     const message = `there is an operator ${id}; rotate the token or choose another id`
-    return refuse(AdminErrorCode.Conflict, message)
+    return createErrorResponse(AdminErrorCode.Conflict, message)
   }
 
   return [
@@ -45,11 +45,11 @@
       path: '/operators',
       role: Role.Owner,
       handle: async ({ actor, body }) => {
-        const parsed = parseBody(createBody, body)
+        const parsed = parseBody(createBodySchema, body)
         if (parsed.isErr()) return parsed.error
         const { id, team, role, expiresInS } = parsed.value
-        if (has(id)) return taken(id)
-        const token = newToken(id, expiresInS)
+        if (exists(id)) return conflict(id)
+        const token = createToken(id, expiresInS)
         const value = { team, role, token: token.stored }
         const path = joinPointer('operators', id)
         const result = await writer.update(actor, () => [
@@ -57,7 +57,7 @@
         ])
         if (result.isErr()) return result.error
         const { version } = result.value
-        return reply({ id, team, role, token: token.text, version })
+        return createResponse({ id, team, role, token: token.text, version })
       },
     },
     {
@@ -66,20 +66,20 @@
       role: Role.Owner,
       handle: async ({ actor, params, body }) => {
         const { operator = '' } = params
-        const parsed = parseBody(rotateBody, body)
+        const parsed = parseBody(rotateBodySchema, body)
         if (parsed.isErr()) return parsed.error
-        if (!has(operator)) {
+        if (!exists(operator)) {
           const message = `there is no operator ${operator}`
-          return refuse(AdminErrorCode.NotFound, message)
+          return createErrorResponse(AdminErrorCode.NotFound, message)
         }
-        const token = newToken(operator, parsed.value.expiresInS)
+        const token = createToken(operator, parsed.value.expiresInS)
         const path = joinPointer('operators', operator, 'token')
         const result = await writer.update(actor, () => [
           { op: 'replace', path, value: token.stored },
         ])
         if (result.isErr()) return result.error
         const { version } = result.value
-        return reply({ id: operator, token: token.text, version })
+        return createResponse({ id: operator, token: token.text, version })
       },
     },
   ]
--- a/packages/daemon/src/node/admin/routes/patchRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createPatchRoutes.ts
@@ -1,30 +1,30 @@
 import { patchRecordSchema, Role } from '@auburnbay/core'
 import { z } from 'zod'
 import { AdminErrorCode } from '../adminErrorCode.js'
-import type { AdminParts } from '../adminParts.js'
-import { refuse, reply } from '../adminReplies.js'
+import type { AdminServerOptions } from '../adminServerOptions.js'
+import { createErrorResponse, createResponse } from '../adminResponses.js'
 import type { AdminRoute } from '../adminRoute.js'
-import type { ConfigurationWriter } from '../configurationWriter.js'
+import type { ConfigurationWriter } from '../createConfigurationWriter.js'
 import { findOutcome } from '../findOutcome.js'
 import { parseBody } from '../parseBody.js'
 
 const { patchId, baseVersion, author, operations } = patchRecordSchema.shape
 
-const patchBody = z.object({
+const patchBodySchema = z.object({
   patchId: patchId.optional(),
   baseVersion,
   author: author.optional(),
   operations,
 })
 
-const validateBody = z.object({
+const validateBodySchema = z.object({
   baseVersion: baseVersion.optional(),
   operations,
 })
 
-/** Paths that submit patches, try them out and ask for their outcome. */
+/** Routes that submit and validate patches and look up their outcomes. */
 export function createPatchRoutes(
-  { tailer }: AdminParts,
+  { tailer }: AdminServerOptions,
   writer: ConfigurationWriter,
 ): AdminRoute[] {
   return [
@@ -33,10 +33,10 @@
       path: '/config/patches',
       role: Role.Editor,
       handle: async ({ actor, body }) => {
-        const change = parseBody(patchBody, body)
+        const change = parseBody(patchBodySchema, body)
         if (change.isErr()) return change.error
         const result = await writer.submit(actor, change.value)
-        return result.isOk() ? reply(result.value) : result.error
+        return result.isOk() ? createResponse(result.value) : result.error
       },
     },
     {
@@ -46,9 +46,9 @@
       handle: async ({ params }) => {
         const { patchId = '' } = params
         const outcome = await findOutcome(tailer, patchId)
-        if (outcome) return reply(outcome)
+        if (outcome) return createResponse(outcome)
         const message = `patch ${patchId} is not on the log as far as this router has read it; ask again, and submit it again with the same id when it stays away`
-        return refuse(AdminErrorCode.Unknown, message, { patchId })
+        return createErrorResponse(AdminErrorCode.Unknown, message, { patchId })
       },
     },
     {
@@ -56,11 +56,11 @@
       path: '/config/validate',
       role: Role.Viewer,
       handle: ({ actor, body }) => {
-        const change = parseBody(validateBody, body)
+        const change = parseBody(validateBodySchema, body)
         if (change.isErr()) return change.error
         const { version } = tailer.state
         const base = change.value.baseVersion ?? version
-        return reply(
+        return createResponse(
           writer.validate(actor, { ...change.value, baseVersion: base }),
         )
       },
--- a/packages/daemon/src/node/admin/routes/sectionRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createSectionRoutes.ts
@@ -7,77 +7,81 @@
 } from '@auburnbay/core'
 import { z } from 'zod'
 import { AdminErrorCode } from '../adminErrorCode.js'
-import type { AdminParts } from '../adminParts.js'
-import { refuse, reply } from '../adminReplies.js'
-import type { AdminCall, AdminReply, AdminRoute } from '../adminRoute.js'
-import type { ConfigurationWriter } from '../configurationWriter.js'
+import type { AdminServerOptions } from '../adminServerOptions.js'
+import { createErrorResponse, createResponse } from '../adminResponses.js'
+import type { AdminCall, AdminResponse, AdminRoute } from '../adminRoute.js'
+import type { ConfigurationWriter } from '../createConfigurationWriter.js'
 import { parseBody } from '../parseBody.js'
 
-/** Fields that hold hashes, which nobody can read and so cannot send back. */
-const KEPT_FIELDS = ['keys', 'token'] as const
+/** Fields kept on update: clients only see redacted hashes to send back. */
+const PRESERVED_FIELDS = ['keys', 'token'] as const
 
-const entryBody = z.record(z.string(), z.unknown())
+const entryBodySchema = z.record(z.string(), z.unknown())
 
 type Entries = Record<string, Record<string, unknown>>
 
-function entriesOf(cfg: Configuration, section: Section): Entries {
+function getEntries(cfg: Configuration, section: Section): Entries {
   return cfg[section]
 }
 
-function withKeptFields(
+function preserveFields(
   entry: Record<string, unknown>,
   before: Record<string, unknown> | undefined,
 ): Record<string, unknown> {
   const merged = { ...entry }
-  for (const field of KEPT_FIELDS) {
-    const kept = before?.[field]
-    if (kept !== undefined) merged[field] ??= kept
+  for (const field of PRESERVED_FIELDS) {
+    const value = before?.[field]
+    if (value !== undefined) merged[field] ??= value
   }
   return merged
 }
 
 function createRoutes(
   section: Section,
-  { tailer }: AdminParts,
+  { tailer }: AdminServerOptions,
   writer: ConfigurationWriter,
 ): AdminRoute[] {
   const entry = `/${section}/:id`
-  const entries = (): Entries => entriesOf(tailer.state.configuration, section)
+  const entries = (): Entries => getEntries(tailer.state.configuration, section)
 
   function find(id: string): Record<string, unknown> | undefined {
     return Object.hasOwn(entries(), id) ? entries()[id] : undefined
   }
 
-  function missing(id: string): AdminReply {
+  function notFound(id: string): AdminResponse {
     const message = `${section} has no ${id}; list them with GET /${section}`
-    return refuse(AdminErrorCode.NotFound, message)
+    return createErrorResponse(AdminErrorCode.NotFound, message)
   }
 
-  async function put({ actor, params, body }: AdminCall): Promise<AdminReply> {
+  async function put({
+    actor,
+    params,
+    body,
+  }: AdminCall): Promise<AdminResponse> {
     const { id = '' } = params
-    const parsed = parseBody(entryBody, body)
+    const parsed = parseBody(entryBodySchema, body)
     if (parsed.isErr()) return parsed.error
     const result = await writer.update(actor, (cfg) => {
-      const before = entriesOf(cfg, section)[id]
-      const value = withKeptFields(parsed.value, before)
+      const before = getEntries(cfg, section)[id]
+      const value = preserveFields(parsed.value, before)
       return [{ op: 'add', path: joinPointer(section, id), value }]
     })
-    return result.isOk() ? reply(result.value) : result.error
+    return result.isOk() ? createResponse(result.value) : result.error
   }
 
-  async function remove({ actor, params }: AdminCall): Promise<AdminReply> {
+  async function remove({ actor, params }: AdminCall): Promise<AdminResponse> {
     const { id = '' } = params
-    if (!find(id)) return missing(id)
+    if (!find(id)) return notFound(id)
     const path = joinPointer(section, id)
     const result = await writer.update(actor, () => [{ op: 'remove', path }])
-    return result.isOk() ? reply(result.value) : result.error
+    return result.isOk() ? createResponse(result.value) : result.error
   }
 
   const list: AdminRoute = {
     method: 'GET',
     path: `/${section}`,
     role: Role.Viewer,
-    handle: () => reply(redactHashes(entries())),
+    handle: () => createResponse(redactHashes(entries())),
   }
   const show: AdminRoute = {
     method: 'GET',
@@ -86,11 +90,11 @@
     handle: ({ params }) => {
       const { id = '' } = params
       const found = find(id)
-      return found ? reply(redactHashes(found)) : missing(id)
+      return found ? createResponse(redactHashes(found)) : notFound(id)
     },
   }
   return [
-    // The list of targets stands with their loads.
+    // createFleetRoutes lists the targets, together with their loads.
     ...(section === Section.Targets ? [] : [list]),
     show,
     { method: 'PUT', path: entry, role: Role.Editor, handle: put },
@@ -98,11 +102,11 @@
   ]
 }
 
-/** Paths that read and change the entries of each section. */
+/** Routes that read and change the entries of all sections. */
 export function createSectionRoutes(
-  parts: AdminParts,
+  options: AdminServerOptions,
   writer: ConfigurationWriter,
 ): AdminRoute[] {
   const sections = Object.values(Section)
-  return sections.flatMap((section) => createRoutes(section, parts, writer))
+  return sections.flatMap((section) => createRoutes(section, options, writer))
 }
--- a/packages/daemon/src/node/admin/submitPatch.ts
+++ b/packages/daemon/src/node/admin/submitPatch.ts
@@ -12,17 +12,17 @@
 import type { ConfigurationTailer } from '../configuration/createConfigurationTailer.js'
 import type { LogClient } from '../logService/logClient.js'
 
-/** What is known of a submitted patch. */
+/** What is known about a submitted patch. */
 export enum SubmissionKind {
-  /** Read back from the log, whose order decided. */
+  /** Read back from the log, which determined the outcome. */
   Decided = 'decided',
-  /** Certainly not on the log. */
+  /** Not on the log, and will not be. */
   NotAppended = 'not-appended',
   /** May be on the log, now or later. */
   Unknown = 'unknown',
 }
 
-/** The answer to a submitted patch. */
+/** Result of {@link submitPatch}. */
 export type Submission =
   | { readonly kind: SubmissionKind.Decided; readonly outcome: PatchOutcome }
   | {
@@ -30,18 +30,18 @@
       readonly message: string
     }
 
-function unknown(record: PatchRecord, why: string): Submission {
-  const message = `${why}; ask for GET /config/patches/${record.patchId}`
+function createUnknown(record: PatchRecord, reason: string): Submission {
+  const message = `${reason}; ask for GET /config/patches/${record.patchId}`
   return { kind: SubmissionKind.Unknown, message }
 }
 
-/** Waits until the log's order has decided a patch. */
-async function readBack(
+/** Waits for a patch's outcome; undefined after {@link PATCH_CONFIRMATION_TIMEOUT_MS}. */
+async function waitForOutcome(
   tailer: ConfigurationTailer,
   patchId: string,
 ): Promise<PatchOutcome | undefined> {
-  const end = performance.now() + PATCH_CONFIRMATION_TIMEOUT_MS
-  while (performance.now() < end) {
+  const deadline = performance.now() + PATCH_CONFIRMATION_TIMEOUT_MS
+  while (performance.now() < deadline) {
     const outcome = tailer.state.outcomes.get(patchId)
     if (outcome) return outcome
     await tailer.refresh()
@@ -50,7 +50,7 @@
   return undefined
 }
 
-/** Appends a patch and waits until it is read back. */
+/** Appends a patch to the log and waits until this router has read it back. */
 export async function submitPatch(
   log: LogClient,
   tailer: ConfigurationTailer,
@@ -68,11 +68,14 @@
     const message = `the log took nothing: ${appended.error.message}`
     return { kind: SubmissionKind.NotAppended, message }
   }
-  const outcome = await readBack(tailer, record.patchId)
+  const outcome = await waitForOutcome(tailer, record.patchId)
   if (outcome) return { kind: SubmissionKind.Decided, outcome }
   if (appended.isErr())
-    return unknown(record, `the log may hold it: ${appended.error.message}`)
+    return createUnknown(
+      record,
+      `the log may hold it: ${appended.error.message}`,
+    )
   const { nextOffset } = tailer.state
-  const why = `the log holds it at offset ${appended.value}, but this router has read up to offset ${nextOffset}`
-  return unknown(record, why)
+  const reason = `the log holds it at offset ${appended.value}, but this router has read up to offset ${nextOffset}`
+  return createUnknown(record, reason)
 }
