--- a/packages/cli/src/node/commands/config/diffCommand.ts
+++ b/packages/cli/src/node/commands/config/diffCommand.ts
@@ -1,7 +1,7 @@
 import { command, number, option, optional } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { asTable, runCall } from '../runCall.js'
-import { historyColumns, historyRow } from './historyCommand.js'
+import { createTableFormatter, runRequest } from '../runRequest.js'
+import { historyColumns, toHistoryRow } from './historyCommand.js'
 
 /** Shows what changed between two versions. */
 export const diffCommand = command({
@@ -25,9 +25,9 @@
   handler: ({ from, to, ...connection }) => {
     const end = to === undefined ? '' : `&to=${to}`
     const path = `/config/diff?from=${from}${end}`
-    return runCall(connection, { path }, (body) => {
+    return runRequest(connection, { path }, (body) => {
       const { changes } = body as { changes: readonly unknown[] }
-      return asTable(historyColumns)(changes.map(historyRow))
+      return createTableFormatter(historyColumns)(changes.map(toHistoryRow))
     })
   },
 })
--- a/packages/cli/src/node/commands/config/getCommand.ts
+++ b/packages/cli/src/node/commands/config/getCommand.ts
@@ -1,6 +1,6 @@
 import { command } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { runCall } from '../runCall.js'
+import { runRequest } from '../runRequest.js'
 
 /** Shows the version in force. */
 export const getCommand = command({
@@ -13,5 +13,5 @@
     },
   ],
   args: connectionArgs,
-  handler: (args) => runCall(args, { path: '/config' }),
+  handler: (args) => runRequest(args, { path: '/config' }),
 })
--- a/packages/cli/src/node/commands/config/historyCommand.ts
+++ b/packages/cli/src/node/commands/config/historyCommand.ts
@@ -1,7 +1,7 @@
 import { command, number, option } from 'cmd-ts'
 import { type Row } from '../../output/table.js'
 import { connectionArgs } from '../connectionArgs.js'
-import { asTable, runCall } from '../runCall.js'
+import { createTableFormatter, runRequest } from '../runRequest.js'
 
 const DEFAULT_LIMIT = 20
 
@@ -13,7 +13,7 @@
 }
 
 /** Turns a change into a row: when, who and which paths. */
-export function historyRow(value: unknown): Row {
+export function toHistoryRow(value: unknown): Row {
   const { version, author, atMs, operations } = value as Entry
   const changes = operations.map(({ op, path }) => `${op} ${path}`)
   const at = new Date(atMs).toISOString()
@@ -42,8 +42,12 @@
     }),
   },
   handler: (args) =>
-    runCall(args, { path: `/config/history?limit=${args.limit}` }, (body) => {
-      const { entries } = body as { entries: readonly unknown[] }
-      return asTable(historyColumns)(entries.map(historyRow))
-    }),
+    runRequest(
+      args,
+      { path: `/config/history?limit=${args.limit}` },
+      (body) => {
+        const { entries } = body as { entries: readonly unknown[] }
+        return createTableFormatter(historyColumns)(entries.map(toHistoryRow))
+      },
+    ),
 })
--- a/packages/cli/src/node/commands/config/patchCommand.ts
+++ b/packages/cli/src/node/commands/config/patchCommand.ts
@@ -11,10 +11,10 @@
 import { createAdminClient } from '../../adminClient.js'
 import { ExitCode } from '../../exitCode.js'
 import { messages } from '../../output/messages.js'
-import { printReply } from '../../output/printReply.js'
+import { printResponse } from '../../output/printResponse.js'
 import { connectionArgs } from '../connectionArgs.js'
 import { readJsonFile } from '../readJsonFile.js'
-import { asVersion } from '../runCall.js'
+import { createVersionFormatter } from '../runRequest.js'
 import { submitPatch } from './submitPatch.js'
 
 /** Submits a patch. */
@@ -73,6 +73,10 @@
     const client = createAdminClient(admin, token)
     const patch = { ...args, operations: operations.value }
     const reply = await submitPatch(client, patch)
-    process.exitCode = printReply(reply, json, asVersion('Accepted'))
+    process.exitCode = printResponse(
+      reply,
+      json,
+      createVersionFormatter('Accepted'),
+    )
   },
 })
--- a/packages/cli/src/node/commands/config/statusCommand.ts
+++ b/packages/cli/src/node/commands/config/statusCommand.ts
@@ -1,7 +1,7 @@
 import { command } from 'cmd-ts'
 import { formatTable, type Row } from '../../output/table.js'
 import { connectionArgs } from '../connectionArgs.js'
-import { runCall } from '../runCall.js'
+import { runRequest } from '../runRequest.js'
 
 interface Status {
   readonly version: number
@@ -35,5 +35,5 @@
   name: 'status',
   description: 'Show which version is in force on each router.',
   args: connectionArgs,
-  handler: (args) => runCall(args, { path: '/config/status' }, format),
+  handler: (args) => runRequest(args, { path: '/config/status' }, format),
 })
--- a/packages/cli/src/node/commands/config/submitPatch.ts
+++ b/packages/cli/src/node/commands/config/submitPatch.ts
@@ -23,11 +23,11 @@
 
 const MAX_REBASES = 5
 
-function conflictOf(reply: JsonResponse): ConflictBody | undefined {
+function parseConflict(reply: JsonResponse): ConflictBody | undefined {
   return reply.status === 409 ? (reply.body as ConflictBody) : undefined
 }
 
-function explain({ version, rebase }: ConflictBody): void {
+function printConflict({ version, rebase }: ConflictBody): void {
   messages.warn(`Version ${version} is in force now.`)
   if (rebase?.possible)
     messages.info(
@@ -61,12 +61,12 @@
     const call = client.call({ method: 'POST', path, body })
     const reply = await withProgress('the log to confirm the patch', call)
     if (reply.isErr()) return reply
-    const conflict = conflictOf(reply.value)
+    const conflict = parseConflict(reply.value)
     if (!conflict) return ok(reply.value)
     const again =
       args.rebase && conflict.rebase?.possible && rebases < MAX_REBASES
     if (!again) {
-      explain(conflict)
+      printConflict(conflict)
       return reply
     }
     messages.info(`No paths clash with version ${conflict.version}; rebasing.`)
--- a/packages/cli/src/node/commands/config/validateCommand.ts
+++ b/packages/cli/src/node/commands/config/validateCommand.ts
@@ -2,7 +2,7 @@
 import { createAdminClient } from '../../adminClient.js'
 import { ExitCode } from '../../exitCode.js'
 import { messages } from '../../output/messages.js'
-import { printReply } from '../../output/printReply.js'
+import { printResponse } from '../../output/printResponse.js'
 import { connectionArgs } from '../connectionArgs.js'
 import { readJsonFile } from '../readJsonFile.js'
 
@@ -51,7 +51,7 @@
       path: '/config/validate',
       body: { baseVersion: base, operations: operations.value },
     })
-    const exitCode = printReply(reply, json, format)
+    const exitCode = printResponse(reply, json, format)
     const refused =
       exitCode === ExitCode.Done &&
       reply.isOk() &&
--- a/packages/cli/src/node/commands/entries/entryCommands.ts
+++ b/packages/cli/src/node/commands/entries/createEntryCommands.ts
@@ -4,7 +4,12 @@
 import type { Column } from '../../output/table.js'
 import { connectionArgs } from '../connectionArgs.js'
 import { readJsonFile } from '../readJsonFile.js'
-import { asEntryTable, asVersion, pathOf, runCall } from '../runCall.js'
+import {
+  createEntryTableFormatter,
+  createVersionFormatter,
+  buildPath,
+  runRequest,
+} from '../runRequest.js'
 
 /** What a group of entry commands is about. */
 export interface EntryCommandsOptions {
@@ -18,7 +23,7 @@
 const id = positional({ type: string, displayName: 'ID' })
 
 /** Creates the commands that list, show, set and remove entries of a section. */
-export function entryCommands(options: EntryCommandsOptions) {
+export function createEntryCommands(options: EntryCommandsOptions) {
   const { section, noun, columns } = options
 
   const list = command({
@@ -26,13 +31,17 @@
     description: `List every ${noun}.`,
     args: connectionArgs,
     handler: (args) =>
-      runCall(args, { path: `/${section}` }, asEntryTable(columns)),
+      runRequest(
+        args,
+        { path: `/${section}` },
+        createEntryTableFormatter(columns),
+      ),
   })
   const show = command({
     name: 'show',
     description: `Show one ${noun} as JSON.`,
     args: { ...connectionArgs, id },
-    handler: (args) => runCall(args, { path: pathOf(section, args.id) }),
+    handler: (args) => runRequest(args, { path: buildPath(section, args.id) }),
   })
   const set = command({
     name: 'set',
@@ -55,9 +64,13 @@
         process.exitCode = ExitCode.Usage
         return
       }
-      const path = pathOf(section, entry)
+      const path = buildPath(section, entry)
       const req = { method: 'PUT' as const, path, body: body.value }
-      await runCall(connection, req, asVersion(`Set ${noun} ${entry}`))
+      await runRequest(
+        connection,
+        req,
+        createVersionFormatter(`Set ${noun} ${entry}`),
+      )
     },
   })
   const remove = command({
@@ -65,20 +78,20 @@
     description: `Remove a ${noun}.`,
     args: { ...connectionArgs, id },
     handler: ({ id: entry, ...connection }) =>
-      runCall(
+      runRequest(
         connection,
-        { method: 'DELETE', path: pathOf(section, entry) },
-        asVersion(`Removed ${noun} ${entry}`),
+        { method: 'DELETE', path: buildPath(section, entry) },
+        createVersionFormatter(`Removed ${noun} ${entry}`),
       ),
   })
   return { list, show, set, remove }
 }
 
 /** Creates a group with just the entry commands. */
-export function entryGroup(options: EntryCommandsOptions) {
+export function createEntryGroup(options: EntryCommandsOptions) {
   return subcommands({
     name: options.section,
     description: `List and change every ${options.noun}.`,
-    cmds: entryCommands(options),
+    cmds: createEntryCommands(options),
   })
 }
--- a/packages/cli/src/node/commands/entries/entryGroups.ts
+++ b/packages/cli/src/node/commands/entries/entryGroups.ts
@@ -1,10 +1,10 @@
 import { subcommands } from 'cmd-ts'
 import { createOperatorCommand } from '../secrets/createOperatorCommand.js'
 import { rotateOperatorCommand } from '../secrets/rotateOperatorCommand.js'
-import { entryCommands, entryGroup } from './entryCommands.js'
+import { createEntryCommands, createEntryGroup } from './createEntryCommands.js'
 
 /** Commands on customers. */
-export const customerCommands = entryGroup({
+export const customerCommands = createEntryGroup({
   section: 'customers',
   noun: 'customer',
   columns: [
@@ -16,7 +16,7 @@
 })
 
 /** Commands on services. */
-export const serviceCommands = entryGroup({
+export const serviceCommands = createEntryGroup({
   section: 'services',
   noun: 'service',
   columns: [
@@ -27,7 +27,7 @@
 })
 
 /** Commands on rules. */
-export const ruleCommands = entryGroup({
+export const ruleCommands = createEntryGroup({
   section: 'rules',
   noun: 'rule',
   columns: [
@@ -39,13 +39,13 @@
 })
 
 /** Commands on teams. */
-export const teamCommands = entryGroup({
+export const teamCommands = createEntryGroup({
   section: 'teams',
   noun: 'team',
   columns: [{ title: 'QUOTAS', field: 'quotas' }],
 })
 
-const operatorEntries = entryCommands({
+const operatorEntries = createEntryCommands({
   section: 'operators',
   noun: 'operator',
   columns: [
--- a/packages/cli/src/node/commands/fleet/chatCommands.ts
+++ b/packages/cli/src/node/commands/fleet/chatCommands.ts
@@ -7,7 +7,7 @@
   subcommands,
 } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { asTable, pathOf, runCall } from '../runCall.js'
+import { createTableFormatter, buildPath, runRequest } from '../runRequest.js'
 
 const where = command({
   name: 'where',
@@ -36,11 +36,11 @@
   handler: ({ chat, service, customer, ...connection }) => {
     const query = new URLSearchParams({ customer })
     if (service !== undefined) query.set('service', service)
-    const path = `${pathOf('chats', chat)}?${query.toString()}`
-    return runCall(
+    const path = `${buildPath('chats', chat)}?${query.toString()}`
+    return runRequest(
       connection,
       { path },
-      asTable([
+      createTableFormatter([
         { title: 'CHAT', field: 'chat' },
         { title: 'SERVICE', field: 'service' },
         { title: 'TARGET', field: 'target' },
--- a/packages/cli/src/node/commands/fleet/drainCommand.ts
+++ b/packages/cli/src/node/commands/fleet/drainCommand.ts
@@ -1,6 +1,6 @@
 import { boolean, command, flag, positional, string } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { asVersion, pathOf, runCall } from '../runCall.js'
+import { createVersionFormatter, buildPath, runRequest } from '../runRequest.js'
 
 /** Takes a target out of service, or back in. */
 export const drainCommand = command({
@@ -19,8 +19,12 @@
     undo: flag({ long: 'undo', type: boolean, description: 'take it back in' }),
   },
   handler: ({ target, undo, ...connection }) => {
-    const path = pathOf('targets', target, undo ? 'undrain' : 'drain')
+    const path = buildPath('targets', target, undo ? 'undrain' : 'drain')
     const what = undo ? `${target} takes requests again` : `Draining ${target}`
-    return runCall(connection, { method: 'POST', path }, asVersion(what))
+    return runRequest(
+      connection,
+      { method: 'POST', path },
+      createVersionFormatter(what),
+    )
   },
 })
--- a/packages/cli/src/node/commands/fleet/explainCommand.ts
+++ b/packages/cli/src/node/commands/fleet/explainCommand.ts
@@ -1,7 +1,7 @@
 import { command, option, string } from 'cmd-ts'
 import { formatTable, type Row } from '../../output/table.js'
 import { connectionArgs } from '../connectionArgs.js'
-import { runCall } from '../runCall.js'
+import { runRequest } from '../runRequest.js'
 
 interface Explanation {
   readonly router: string
@@ -59,6 +59,10 @@
   },
   handler: ({ service, customer, chat, kind, ...connection }) => {
     const query = new URLSearchParams({ service, customer, chat, kind })
-    return runCall(connection, { path: `/explain?${query.toString()}` }, format)
+    return runRequest(
+      connection,
+      { path: `/explain?${query.toString()}` },
+      format,
+    )
   },
 })
--- a/packages/cli/src/node/commands/fleet/routersCommand.ts
+++ b/packages/cli/src/node/commands/fleet/routersCommand.ts
@@ -1,6 +1,6 @@
 import { command } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { asTable, runCall } from '../runCall.js'
+import { createTableFormatter, runRequest } from '../runRequest.js'
 
 /** Shows the routers that the router asked has heard of. */
 export const routersCommand = command({
@@ -8,10 +8,10 @@
   description: 'Show the routers that the one asked has heard of.',
   args: connectionArgs,
   handler: (args) =>
-    runCall(
+    runRequest(
       args,
       { path: '/routers' },
-      asTable([
+      createTableFormatter([
         { title: 'ROUTER', field: 'id' },
         { title: 'DATA CENTRE', field: 'dataCentre' },
         { title: 'VERSION', field: 'version', right: true },
--- a/packages/cli/src/node/commands/fleet/targetCommands.ts
+++ b/packages/cli/src/node/commands/fleet/targetCommands.ts
@@ -1,7 +1,7 @@
 import { command, subcommands } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { entryCommands } from '../entries/entryCommands.js'
-import { asTable, runCall } from '../runCall.js'
+import { createEntryCommands } from '../entries/createEntryCommands.js'
+import { createTableFormatter, runRequest } from '../runRequest.js'
 
 /** Columns of a list of targets with loads. */
 export const targetColumns = [
@@ -19,10 +19,10 @@
   description: 'List targets with their load and bound.',
   args: connectionArgs,
   handler: (args) =>
-    runCall(args, { path: '/targets' }, asTable(targetColumns)),
+    runRequest(args, { path: '/targets' }, createTableFormatter(targetColumns)),
 })
 
-const { show, set, remove } = entryCommands({
+const { show, set, remove } = createEntryCommands({
   section: 'targets',
   noun: 'target',
   columns: [],
--- a/packages/cli/src/node/commands/fleet/topCommand.ts
+++ b/packages/cli/src/node/commands/fleet/topCommand.ts
@@ -2,7 +2,7 @@
 import { command, number, option, optional } from 'cmd-ts'
 import { createAdminClient } from '../../adminClient.js'
 import { ExitCode } from '../../exitCode.js'
-import { printReply } from '../../output/printReply.js'
+import { printResponse } from '../../output/printResponse.js'
 import { formatTable, type Row } from '../../output/table.js'
 import { connectionArgs } from '../connectionArgs.js'
 
@@ -19,21 +19,21 @@
 }
 
 /** Draws a load against its bound, `#####.....`. */
-export function loadBar(load: number, bound: number): string {
+export function formatLoadBar(load: number, bound: number): string {
   const share = bound > 0 ? Math.min(1, load / bound) : 0
   const filled = Math.round(share * BAR_WIDTH)
   return '#'.repeat(filled) + '.'.repeat(BAR_WIDTH - filled)
 }
 
-function toRow(target: LoadedTarget): Row {
+function toTableRow(target: LoadedTarget): Row {
   const { load, bound } = target
   const known = load !== undefined && bound !== undefined
   const state = target.draining ? 'draining' : known ? '' : 'leaving'
-  return { ...target, bar: known ? loadBar(load, bound) : '', state }
+  return { ...target, bar: known ? formatLoadBar(load, bound) : '', state }
 }
 
 function format(body: unknown): string {
-  const rows = (body as readonly LoadedTarget[]).map(toRow)
+  const rows = (body as readonly LoadedTarget[]).map(toTableRow)
   return formatTable(
     [
       { title: 'SERVICE', field: 'service' },
@@ -74,7 +74,7 @@
     for (let look = 1; look <= count; look += 1) {
       const reply = await client.call({ path: '/targets' })
       if (process.stdout.isTTY && !json) process.stdout.write(CLEAR_SCREEN)
-      const exitCode = printReply(reply, json, format)
+      const exitCode = printResponse(reply, json, format)
       process.exitCode = exitCode
       if (exitCode !== ExitCode.Done) return
       if (look < count) await sleep(everyMs)
--- a/packages/cli/src/node/commands/runCall.ts
+++ b/packages/cli/src/node/commands/runRequest.ts
@@ -1,22 +1,24 @@
 import { type AdminRequest, createAdminClient } from '../adminClient.js'
-import { type Formatter, printReply } from '../output/printReply.js'
+import { type BodyFormatter, printResponse } from '../output/printResponse.js'
 import { type Column, formatTable, type Row } from '../output/table.js'
 import { withProgress } from '../output/withProgress.js'
 import type { Connection } from './connectionArgs.js'
 
 /** Calls the router, prints the answer and sets the exit code. */
-export async function runCall(
+export async function runRequest(
   connection: Connection,
   req: AdminRequest,
-  format?: Formatter,
+  format?: BodyFormatter,
 ): Promise<void> {
   const client = createAdminClient(connection.admin, connection.token)
   const reply = await withProgress('the router', client.call(req))
-  process.exitCode = printReply(reply, connection.json, format)
+  process.exitCode = printResponse(reply, connection.json, format)
 }
 
 /** Shows a list as a table. */
-export function asTable(columns: readonly Column[]): Formatter {
+export function createTableFormatter(
+  columns: readonly Column[],
+): BodyFormatter {
   return (body) => {
     const rows = body as readonly Row[]
     return rows.length === 0 ? '(none)' : formatTable(columns, rows)
@@ -24,16 +26,20 @@
 }
 
 /** Shows a map of entries as a table with their ids. */
-export function asEntryTable(columns: readonly Column[]): Formatter {
+export function createEntryTableFormatter(
+  columns: readonly Column[],
+): BodyFormatter {
   return (body) => {
     const entries = Object.entries(body as Record<string, Row>)
     const rows = entries.map(([id, entry]) => ({ id, ...entry }))
-    return asTable([{ title: 'ID', field: 'id' }, ...columns])(rows)
+    return createTableFormatter([{ title: 'ID', field: 'id' }, ...columns])(
+      rows,
+    )
   }
 }
 
 /** Says which version a change led to. */
-export function asVersion(what: string): Formatter {
+export function createVersionFormatter(what: string): BodyFormatter {
   return (body) => {
     const { version } = body as { version: number }
     return `${what}; version ${version} is in force.`
@@ -41,6 +47,6 @@
 }
 
 /** Makes a path of parts that may hold any character. */
-export function pathOf(...parts: string[]): string {
+export function buildPath(...parts: string[]): string {
   return parts.map((part) => `/${encodeURIComponent(part)}`).join('')
 }
--- a/packages/cli/src/node/commands/secrets/createOperatorCommand.ts
+++ b/packages/cli/src/node/commands/secrets/createOperatorCommand.ts
@@ -9,8 +9,8 @@
 } from 'cmd-ts'
 import { Role } from '@auburnbay/core/teams/role'
 import { connectionArgs } from '../connectionArgs.js'
-import { runCall } from '../runCall.js'
-import { asSecret } from './asSecret.js'
+import { runRequest } from '../runRequest.js'
+import { createSecretFormatter } from './createSecretFormatter.js'
 
 /** Creates an operator and shows its token once. */
 export const createOperatorCommand = command({
@@ -34,13 +34,13 @@
     }),
   },
   handler: ({ id, team, role, expiresInS, ...connection }) =>
-    runCall(
+    runRequest(
       connection,
       {
         method: 'POST',
         path: '/operators',
         body: { id, team, role, expiresInS },
       },
-      asSecret('token'),
+      createSecretFormatter('token'),
     ),
 })
--- a/packages/cli/src/node/commands/secrets/asSecret.ts
+++ b/packages/cli/src/node/commands/secrets/createSecretFormatter.ts
@@ -1,8 +1,8 @@
-import type { Formatter } from '../../output/printReply.js'
+import type { BodyFormatter } from '../../output/printResponse.js'
 import { messages } from '../../output/messages.js'
 
 /** Prints a new secret alone on stdout and the rest on stderr. */
-export function asSecret(field: 'key' | 'token'): Formatter {
+export function createSecretFormatter(field: 'key' | 'token'): BodyFormatter {
   return (body) => {
     const reply = body as Record<string, unknown>
     messages.info(
--- a/packages/cli/src/node/commands/secrets/keyCommands.ts
+++ b/packages/cli/src/node/commands/secrets/keyCommands.ts
@@ -8,8 +8,8 @@
   subcommands,
 } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { asVersion, pathOf, runCall } from '../runCall.js'
-import { asSecret } from './asSecret.js'
+import { createVersionFormatter, buildPath, runRequest } from '../runRequest.js'
+import { createSecretFormatter } from './createSecretFormatter.js'
 
 const MS_PER_S = 1_000
 
@@ -41,9 +41,9 @@
       expiresInS === undefined
         ? undefined
         : Math.ceil(Date.now() + expiresInS * MS_PER_S)
-    const path = pathOf('customers', customer, 'keys')
+    const path = buildPath('customers', customer, 'keys')
     const req = { method: 'POST' as const, path, body: { keyId, expiresAtMs } }
-    return runCall(connection, req, asSecret('key'))
+    return runRequest(connection, req, createSecretFormatter('key'))
   },
 })
 
@@ -66,9 +66,9 @@
     }),
   },
   handler: ({ customer, keyId, overlapS, ...connection }) => {
-    const path = pathOf('customers', customer, 'keys', keyId, 'rotate')
+    const path = buildPath('customers', customer, 'keys', keyId, 'rotate')
     const req = { method: 'POST' as const, path, body: { overlapS } }
-    return runCall(connection, req, asSecret('key'))
+    return runRequest(connection, req, createSecretFormatter('key'))
   },
 })
 
@@ -77,9 +77,13 @@
   description: 'End a caller key at once.',
   args: { ...connectionArgs, ...names },
   handler: ({ customer, keyId, ...connection }) => {
-    const path = pathOf('customers', customer, 'keys', keyId)
+    const path = buildPath('customers', customer, 'keys', keyId)
     const req = { method: 'DELETE' as const, path }
-    return runCall(connection, req, asVersion(`Revoked ${customer}/${keyId}`))
+    return runRequest(
+      connection,
+      req,
+      createVersionFormatter(`Revoked ${customer}/${keyId}`),
+    )
   },
 })
 
--- a/packages/cli/src/node/commands/secrets/rotateOperatorCommand.ts
+++ b/packages/cli/src/node/commands/secrets/rotateOperatorCommand.ts
@@ -1,7 +1,7 @@
 import { command, number, option, optional, positional, string } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { pathOf, runCall } from '../runCall.js'
-import { asSecret } from './asSecret.js'
+import { buildPath, runRequest } from '../runRequest.js'
+import { createSecretFormatter } from './createSecretFormatter.js'
 
 /** Gives an operator a new token. */
 export const rotateOperatorCommand = command({
@@ -17,8 +17,8 @@
     }),
   },
   handler: ({ id, expiresInS, ...connection }) => {
-    const path = pathOf('operators', id, 'rotate')
+    const path = buildPath('operators', id, 'rotate')
     const req = { method: 'POST' as const, path, body: { expiresInS } }
-    return runCall(connection, req, asSecret('token'))
+    return runRequest(connection, req, createSecretFormatter('token'))
   },
 })
--- a/packages/cli/src/node/output/printReply.ts
+++ b/packages/cli/src/node/output/printResponse.ts
@@ -11,7 +11,7 @@
 }
 
 /** Shows a successful answer to people. */
-export type Formatter = (body: unknown) => string
+export type BodyFormatter = (body: unknown) => string
 
 function errorMessage(body: unknown): string {
   const { error } = (body ?? {}) as { error?: { message?: unknown } }
@@ -20,15 +20,15 @@
     : JSON.stringify(body)
 }
 
-function asJson(body: unknown): string {
+function formatJson(body: unknown): string {
   return JSON.stringify(body, null, 2)
 }
 
 /** Prints an answer and returns the exit code that belongs to it. */
-export function printReply(
+export function printResponse(
   reply: Result<JsonResponse, RequestError>,
   json: boolean,
-  format: Formatter = asJson,
+  format: BodyFormatter = formatJson,
 ): ExitCode {
   if (reply.isErr()) {
     messages.error(
@@ -38,10 +38,10 @@
   }
   const { status, body } = reply.value
   if (status < 300) {
-    process.stdout.write(`${json ? asJson(body) : format(body)}\n`)
+    process.stdout.write(`${json ? formatJson(body) : format(body)}\n`)
     return ExitCode.Done
   }
   messages.error(`${errorMessage(body)}.`)
-  if (json) process.stdout.write(`${asJson(body)}\n`)
+  if (json) process.stdout.write(`${formatJson(body)}\n`)
   return EXIT_CODES[status] ?? ExitCode.Failed
 }
--- a/packages/cli/src/node/output/table.ts
+++ b/packages/cli/src/node/output/table.ts
@@ -12,7 +12,7 @@
 /** A record as the administration API sends it. */
 export type Row = Readonly<Record<string, unknown>>
 
-const PLAIN_LINES = {
+const NO_BORDERS = {
   top: '',
   'top-mid': '',
   'top-left': '',
@@ -30,7 +30,7 @@
   middle: '  ',
 }
 
-function cell(value: unknown): string {
+function formatCell(value: unknown): string {
   if (value === undefined || value === null) return '-'
   if (typeof value === 'number')
     return Number.isInteger(value) ? String(value) : value.toFixed(2)
@@ -45,12 +45,12 @@
 ): string {
   const table = new Table({
     head: columns.map((column) => column.title),
-    chars: PLAIN_LINES,
+    chars: NO_BORDERS,
     style: { head: [], border: [], 'padding-left': 0, 'padding-right': 0 },
     colAligns: columns.map(({ right }) => (right ? 'right' : 'left')),
   })
   for (const row of rows)
-    table.push(columns.map(({ field }) => cell(row[field])))
+    table.push(columns.map(({ field }) => formatCell(row[field])))
   const lines = table.toString().split('\n')
   return lines.map((line) => line.trimEnd()).join('\n')
 }
--- a/packages/daemon/src/node/__tests__/startFleet.ts
+++ b/packages/daemon/src/node/__tests__/startFleet.ts
@@ -22,7 +22,7 @@
   type VmListStandIn,
 } from '@auburnbay/stand-ins'
 import { createDaemon } from '../createDaemon.js'
-import type { Daemon, DaemonParts } from '../daemon.js'
+import type { Daemon, DaemonOptions } from '../daemon.js'
 import { resolveSettings } from '../settings/resolveSettings.js'
 import type { Settings } from '../settings/settingsSchema.js'
 
@@ -36,7 +36,7 @@
   /** Settings on top of those of the test fleet. */
   readonly settings?: Partial<Settings>
   /** Parts that every router gets. */
-  readonly parts?: DaemonParts
+  readonly parts?: DaemonOptions
   /** Settings of one router on top of those. */
   readonly settingsOf?: (index: number) => Partial<Settings>
 }
--- a/packages/daemon/src/node/bin.ts
+++ b/packages/daemon/src/node/bin.ts
@@ -7,7 +7,7 @@
 const EXIT_BAD_SETTINGS = 2
 const EXIT_FAILED = 1
 /** Stopped, but requests that outlasted the limit were broken off. */
-const EXIT_CUT_OFF = 3
+const EXIT_ABORTED = 3
 
 async function start(path: string, checkOnly: boolean): Promise<void> {
   const settings = loadSettings(path)
@@ -26,7 +26,7 @@
   const stop = (): void => {
     void daemon.stop().then(
       (outcome) =>
-        process.exit(outcome === StopOutcome.Drained ? 0 : EXIT_CUT_OFF),
+        process.exit(outcome === StopOutcome.Drained ? 0 : EXIT_ABORTED),
       () => process.exit(EXIT_FAILED),
     )
   }
--- a/packages/daemon/src/node/configuration/__tests__/fleetApi.ts
+++ b/packages/daemon/src/node/configuration/__tests__/fleetApi.ts
@@ -29,7 +29,7 @@
 }
 
 /** Returns what one router says of the versions it knows. */
-export async function statusOf(
+export async function getStatus(
   fleet: Fleet,
   router: number,
 ): Promise<ConfigurationStatus> {
@@ -38,7 +38,7 @@
 }
 
 /** Submits a patch that sets the default rank. */
-export function submitRank(
+export function submitDefaultRank(
   fleet: Fleet,
   router: number,
   patchId: string,
--- a/packages/daemon/src/node/configuration/__tests__/logFaults.test.ts
+++ b/packages/daemon/src/node/configuration/__tests__/logFaults.test.ts
@@ -10,10 +10,10 @@
   type Fleet,
   startFleet,
 } from '../../__tests__/startFleet.js'
-import { callAdmin, statusOf, submitRank } from './fleetApi.js'
+import { callAdmin, getStatus, submitDefaultRank } from './fleetApi.js'
 
 function versionIs(fleet: Fleet, router: number, version: number) {
-  return async () => (await statusOf(fleet, router)).version === version
+  return async () => (await getStatus(fleet, router)).version === version
 }
 
 describe('configuration while the log fails', () => {
@@ -27,8 +27,8 @@
 
   it('gives racing patches one verdict on every router', async () => {
     const answers = await Promise.all([
-      submitRank(fleet, 0, 'left', 1),
-      submitRank(fleet, 1, 'right', 1),
+      submitDefaultRank(fleet, 0, 'left', 1),
+      submitDefaultRank(fleet, 1, 'right', 1),
     ])
     assert.deepEqual(answers.map(({ status }) => status).sort(), [200, 409])
     for (const patchId of ['left', 'right']) {
@@ -41,58 +41,58 @@
 
   it('finds out what became of an append whose reply was lost', async () => {
     fleet.log.faults.loseReplies = 1
-    const answer = await submitRank(fleet, 0, 'once', 1)
+    const answer = await submitDefaultRank(fleet, 0, 'once', 1)
     assert.equal(answer.status, 200)
-    const again = await submitRank(fleet, 1, 'once', 1)
+    const again = await submitDefaultRank(fleet, 1, 'once', 1)
     assert.equal((again.body as { version: number }).version, 2)
     assert.equal(fleet.log.stream(CONFIGURATION_STREAM).nextOffset, 2)
   })
 
   it('says that nothing was appended while the log refuses', async () => {
     fleet.log.faults.outage = true
-    const answer = await submitRank(fleet, 0, 'refused', 1)
+    const answer = await submitDefaultRank(fleet, 0, 'refused', 1)
     assert.equal(answer.status, 503)
     fleet.log.faults.outage = false
-    assert.equal((await submitRank(fleet, 0, 'refused', 1)).status, 200)
+    assert.equal((await submitDefaultRank(fleet, 0, 'refused', 1)).status, 200)
   })
 
   it('says "unknown" while the log is silent', async () => {
     fleet.log.faults.silent = true
-    const answer = await submitRank(fleet, 0, 'silent', 1)
+    const answer = await submitDefaultRank(fleet, 0, 'silent', 1)
     assert.equal(answer.status, 504)
     assert.match(JSON.stringify(answer.body), /patches\/silent/)
     fleet.log.faults.silent = false
-    assert.equal((await submitRank(fleet, 0, 'silent', 1)).status, 200)
+    assert.equal((await submitDefaultRank(fleet, 0, 'silent', 1)).status, 200)
   })
 
   it('brings a late joiner up to date from peers while the log is down', async () => {
-    await submitRank(fleet, 0, 'before', 1)
+    await submitDefaultRank(fleet, 0, 'before', 1)
     fleet.log.faults.outage = true
     await fleet.addRouter()
     await eventually(versionIs(fleet, 2, 2))
     fleet.log.faults.outage = false
-    assert.equal((await submitRank(fleet, 2, 'after', 2)).status, 200)
+    assert.equal((await submitDefaultRank(fleet, 2, 'after', 2)).status, 200)
   })
 
   it('keeps a version that the log lost, until an operator moves it', async () => {
     await eventually(versionIs(fleet, 1, 1))
     fleet.log.replace()
     await eventually(async () => {
-      const { problem } = await statusOf(fleet, 0)
+      const { problem } = await getStatus(fleet, 0)
       return problem?.kind === ConfigurationProblemKind.LogReplaced
     })
-    const refused = await submitRank(fleet, 0, 'lost', 1)
+    const refused = await submitDefaultRank(fleet, 0, 'lost', 1)
     assert.equal(refused.status, 503)
     const moved = await callAdmin(fleet, 0, 'POST', '/config/move')
     assert.equal(moved.status, 200)
-    assert.equal((await submitRank(fleet, 0, 'found', 1)).status, 200)
+    assert.equal((await submitDefaultRank(fleet, 0, 'found', 1)).status, 200)
     await eventually(versionIs(fleet, 1, 2))
   })
 
   it('restarts every router at once from a snapshot and the log', async () => {
     const { log } = fleet
     await eventually(() => log.stream(SNAPSHOT_STREAM).nextOffset > 0)
-    await submitRank(fleet, 0, 'last', 1)
+    await submitDefaultRank(fleet, 0, 'last', 1)
     log.stream(CONFIGURATION_STREAM).trim(1)
     const before = await callAdmin(fleet, 0, 'GET', '/config')
     await Promise.all(fleet.routers.splice(0).map((router) => router.stop()))
@@ -113,14 +113,14 @@
       settingsOf: (index) => (index === 1 ? parted : {}),
     })
     try {
-      await submitRank(fleet, 0, 'next', 1)
+      await submitDefaultRank(fleet, 0, 'next', 1)
       await eventually(versionIs(fleet, 1, 2))
-      const { routers } = await statusOf(fleet, 1)
+      const { routers } = await getStatus(fleet, 1)
       assert.deepEqual(
         routers.map(({ readsLog }) => readsLog),
         [false, true],
       )
-      const answer = await submitRank(fleet, 1, 'cut-off', 2)
+      const answer = await submitDefaultRank(fleet, 1, 'cut-off', 2)
       assert.equal(answer.status, 504)
     } finally {
       await fleet.stop()
--- a/packages/daemon/src/node/configuration/createConfigurationStore.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationStore.ts
@@ -19,11 +19,11 @@
 export interface ConfigurationStore {
   readonly state: ConfigurationState
   /** Applies a page of the log or of a peer. */
-  apply(page: ConfigurationPage): void
+  applyPage(page: ConfigurationPage): void
   /** Takes over a snapshot, unless it would lead back. */
-  adopt(value: unknown): void
+  applySnapshot(value: unknown): void
   /** Returns what a router that is behind needs; undefined without a log. */
-  transfer(
+  createTransfer(
     since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
 }
@@ -86,7 +86,7 @@
     const { logId, nextOffset } = state
     if (logId === undefined) return undefined
     const isSameLog = since.logId === undefined || since.logId === logId
-    const records = isSameLog ? history.from(since.from) : undefined
+    const records = isSameLog ? history.recordsFrom(since.from) : undefined
     if (records) return { logId, nextOffset, records }
     return { logId, nextOffset, snapshot: createSnapshot(state) }
   }
@@ -95,8 +95,8 @@
     get state() {
       return state
     },
-    apply,
-    adopt,
-    transfer,
+    applyPage: apply,
+    applySnapshot: adopt,
+    createTransfer: transfer,
   }
 }
--- a/packages/daemon/src/node/configuration/createConfigurationTailer.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationTailer.ts
@@ -9,7 +9,7 @@
 } from './configurationTransfer.js'
 import { createConfigurationStore } from './createConfigurationStore.js'
 import { createLogReader } from './createLogReader.js'
-import { createPeerFollower } from './createPeerFollower.js'
+import { createPeerCatchUp } from './createPeerCatchUp.js'
 import { createSnapshotWriter } from './createSnapshotWriter.js'
 
 /** Follows the configuration stream and holds the version in force. */
@@ -20,7 +20,7 @@
   /** Reads what the log has now; returns whether it answered. */
   refresh(): Promise<boolean>
   /** Returns what a peer that is behind needs; undefined without a log. */
-  transfer(
+  createTransfer(
     since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
   stop(): Promise<void>
@@ -58,7 +58,7 @@
     shouldRead: () => shouldTail(router, peers()),
   })
   const followsLog = () => reader.connected
-  const follower = createPeerFollower({
+  const follower = createPeerCatchUp({
     store,
     logger,
     metrics,
@@ -84,7 +84,7 @@
       return reader.connected
     },
     refresh: () => reader.refresh(),
-    transfer: (since) => store.transfer(since),
+    createTransfer: (since) => store.createTransfer(since),
     stop: async () => {
       await Promise.all([reader.stop(), follower.stop(), writer.stop()])
     },
--- a/packages/daemon/src/node/configuration/createLogReader.ts
+++ b/packages/daemon/src/node/configuration/createLogReader.ts
@@ -64,7 +64,7 @@
     if (page.isErr()) return
     const values = page.value.records.map(({ value }) => value)
     const chosen = chooseSnapshot(store.state, page.value.logId, values)
-    if (chosen.snapshot !== undefined) store.adopt(chosen.snapshot)
+    if (chosen.snapshot !== undefined) store.applySnapshot(chosen.snapshot)
     startedFromSnapshot = true
   }
 
@@ -75,7 +75,7 @@
       if (connected) logger.warn(`Lost the log: ${page.error.message}.`)
       return false
     }
-    store.apply(page.value)
+    store.applyPage(page.value)
     const { problem } = store.state
     if (problem && NEEDS_SNAPSHOT.has(problem.kind)) await takeSnapshot()
     return true
--- a/packages/daemon/src/node/configuration/createPeerFollower.ts
+++ b/packages/daemon/src/node/configuration/createPeerCatchUp.ts
@@ -11,11 +11,11 @@
   ConfigurationTransferRequest,
   ConfigurationTransfer,
 } from './configurationTransfer.js'
-import { PEER_FOLLOW_MS } from './constants.js'
+import { PEER_CATCH_UP_INTERVAL_MS } from './constants.js'
 import type { ConfigurationStore } from './createConfigurationStore.js'
 
 /** What following the peers works with. */
-export interface PeerFollowerOptions {
+export interface PeerCatchUpOptions {
   readonly store: ConfigurationStore
   readonly logger: ConsolaInstance
   readonly metrics: Metrics
@@ -30,7 +30,7 @@
 }
 
 /** Starts fetching from peers that are ahead. */
-export function createPeerFollower(options: PeerFollowerOptions): Loop {
+export function createPeerCatchUp(options: PeerCatchUpOptions): Loop {
   const { store, logger, metrics, peers } = options
   let differing = ''
   let seed = 0
@@ -47,8 +47,9 @@
 
   function take(transfer: ConfigurationTransfer, from: number): void {
     const { logId, nextOffset, records, snapshot } = transfer
-    if (records) store.apply({ logId, firstOffset: from, nextOffset, records })
-    else if (snapshot !== undefined) store.adopt(snapshot)
+    if (records)
+      store.applyPage({ logId, firstOffset: from, nextOffset, records })
+    else if (snapshot !== undefined) store.applySnapshot(snapshot)
   }
 
   async function round(): Promise<void> {
@@ -64,7 +65,7 @@
     take(await options.fetch(address, { logId, from }), from)
   }
 
-  return createLoop(round, PEER_FOLLOW_MS, (error) => {
+  return createLoop(round, PEER_CATCH_UP_INTERVAL_MS, (error) => {
     logger.debug(`A peer did not answer: ${String(error)}.`)
   })
 }
--- a/packages/daemon/src/node/configuration/createSnapshotWriter.ts
+++ b/packages/daemon/src/node/configuration/createSnapshotWriter.ts
@@ -10,7 +10,7 @@
 import type { ConsolaInstance } from 'consola'
 import type { LogClient, LogRecord } from '../logService/logClient.js'
 import { createLoop, type Loop } from '../tasks/createLoop.js'
-import { SNAPSHOT_CHECK_MS } from './constants.js'
+import { SNAPSHOT_CHECK_INTERVAL_MS } from './constants.js'
 import type { ConfigurationStore } from './createConfigurationStore.js'
 import { readSnapshots } from './readSnapshots.js'
 
@@ -77,7 +77,7 @@
     await lookUpLast()
   }
 
-  return createLoop(round, SNAPSHOT_CHECK_MS, (error) => {
+  return createLoop(round, SNAPSHOT_CHECK_INTERVAL_MS, (error) => {
     logger.error(error)
   })
 }
--- a/packages/daemon/src/node/configuration/readSnapshots.ts
+++ b/packages/daemon/src/node/configuration/readSnapshots.ts
@@ -1,12 +1,12 @@
 import { SNAPSHOT_STREAM } from '@auburnbay/core'
 import { ok, type Result } from 'neverthrow'
 import type { LogClient, LogError, LogPage } from '../logService/logClient.js'
-import { SNAPSHOTS_READ } from './constants.js'
+import { MAX_SNAPSHOTS_READ } from './constants.js'
 
 /** Reads the newest snapshots of the log, newest last. */
 export async function readSnapshots(
   log: LogClient,
-  count = SNAPSHOTS_READ,
+  count = MAX_SNAPSHOTS_READ,
 ): Promise<Result<LogPage, LogError>> {
   const end = await log.read(SNAPSHOT_STREAM, 0, 0, 0)
   if (end.isErr()) return end
--- a/packages/daemon/src/node/configuration/recordHistory.ts
+++ b/packages/daemon/src/node/configuration/recordHistory.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationLogRecord } from '@auburnbay/core'
-import { HISTORY_CHARACTERS, HISTORY_RECORDS } from './constants.js'
+import { MAX_HISTORY_CHARACTERS, MAX_HISTORY_RECORDS } from './constants.js'
 
-interface Kept {
+interface RetainedRecord {
   readonly record: ConfigurationLogRecord
   readonly characters: number
 }
@@ -11,16 +11,19 @@
   add(records: readonly ConfigurationLogRecord[]): void
   clear(): void
   /** Returns the records from an offset on; undefined when some are gone. */
-  from(offset: number): ConfigurationLogRecord[] | undefined
+  recordsFrom(offset: number): ConfigurationLogRecord[] | undefined
 }
 
 /** Creates a history bounded in records and characters. */
 export function createRecordHistory(): RecordHistory {
-  let kept: Kept[] = []
+  let kept: RetainedRecord[] = []
   let characters = 0
 
   function trim(): void {
-    while (kept.length > HISTORY_RECORDS || characters > HISTORY_CHARACTERS)
+    while (
+      kept.length > MAX_HISTORY_RECORDS ||
+      characters > MAX_HISTORY_CHARACTERS
+    )
       characters -= kept.shift()?.characters ?? characters
   }
 
@@ -38,7 +41,7 @@
       kept = []
       characters = 0
     },
-    from(offset) {
+    recordsFrom(offset) {
       const first = kept[0]?.record.offset
       if (first === undefined || first > offset) return undefined
       return kept.map(({ record }) => record).filter((r) => r.offset >= offset)
--- a/packages/daemon/src/node/createDaemon.ts
+++ b/packages/daemon/src/node/createDaemon.ts
@@ -10,7 +10,7 @@
 import { configurationPeers } from './configuration/configurationPeers.js'
 import { createConfigurationTailer } from './configuration/createConfigurationTailer.js'
 import { describeConfiguration } from './configuration/describeConfiguration.js'
-import type { Daemon, DaemonParts } from './daemon.js'
+import type { Daemon, DaemonOptions } from './daemon.js'
 import { createTargetHealth } from './health/createTargetHealth.js'
 import { createHealthTrackingClient } from './health/createHealthTrackingClient.js'
 import { createRetries } from './limits/createRetries.js'
@@ -32,7 +32,7 @@
 import { createCacheEventReader } from './targets/createCacheEventReader.js'
 import { stopCallers } from './stopping/stopCallers.js'
 import type { StopOutcome } from './stopping/stopOutcome.js'
-import { stopParts } from './stopping/stopParts.js'
+import { stopComponents } from './stopping/stopComponents.js'
 import { createLoadPoller } from './targets/createLoadPoller.js'
 import { createTargetClient } from './targets/createTargetClient.js'
 import { createTracing } from './tracing/createTracing.js'
@@ -40,7 +40,7 @@
 /** Starts a router; rejects when an address is in use. */
 export async function createDaemon(
   settings: ResolvedSettings,
-  parts: DaemonParts = {},
+  parts: DaemonOptions = {},
 ): Promise<Daemon> {
   const logs = createLogs(settings.logs)
   const logger = logs.forComponent('daemon')
@@ -104,7 +104,7 @@
   )
   const cacheEvents = createCacheEventReader({
     targets: (resting) => routing.coordinatedTargets(resting),
-    everyMs: settings.targets.reportMs,
+    intervalMs: settings.targets.reportMs,
     maxChats: settings.routing.indexedChats,
     keyOf: chatKey,
     agent: agents.cacheEvents,
@@ -159,7 +159,7 @@
       membership.recordHeartbeat(heartbeat)
       return self()
     },
-    onConfigurationSince: (since) => tailer.transfer(since),
+    onConfigurationSince: (since) => tailer.createTransfer(since),
     onGrant: (ask) => routing.onGrant(ask),
     onCollect: (ask) => routing.onCollect(ask),
   }
@@ -233,7 +233,7 @@
     const tasks = [routing, membership, admission, orders, metricsReporter]
     const servers = [admin, peerServer, certificates]
     const every = [...readers, ...tasks, ...servers]
-    await stopParts(every, [tracing, metrics])
+    await stopComponents(every, [tracing, metrics])
     targets.close()
     peerClient.close()
     logger.info('Stopped.')
--- a/packages/daemon/src/node/daemon.ts
+++ b/packages/daemon/src/node/daemon.ts
@@ -11,7 +11,7 @@
 }
 
 /** Parts that replace or extend the daemon's own. */
-export interface DaemonParts {
+export interface DaemonOptions {
   /** Take every span besides the exporter of the settings. */
   readonly spanProcessors?: SpanProcessor[]
 }
--- a/packages/daemon/src/node/metrics/createMetrics.ts
+++ b/packages/daemon/src/node/metrics/createMetrics.ts
@@ -1,6 +1,6 @@
 import { StatsD } from 'hot-shots'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
-import { FLUSH_MS, MAX_DATAGRAM_BYTES } from './constants.js'
+import { FLUSH_INTERVAL_MS, MAX_DATAGRAM_BYTES } from './constants.js'
 import type { Metrics } from './metrics.js'
 
 /** Sends metrics to StatsD, or drops them without an address. */
@@ -12,7 +12,7 @@
     prefix: 'auburnbay.',
     // One datagram carries many lines; one for each costs a system call each.
     maxBufferSize: MAX_DATAGRAM_BYTES,
-    bufferFlushInterval: FLUSH_MS,
+    bufferFlushInterval: FLUSH_INTERVAL_MS,
     globalTags: {
       router: settings.router.id,
       data_centre: settings.router.dataCentre,
--- a/packages/daemon/src/node/metrics/createMetricsReporter.ts
+++ b/packages/daemon/src/node/metrics/createMetricsReporter.ts
@@ -3,7 +3,7 @@
 import type { Routing, TargetStatus } from '../routing/routing.js'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import { createLoop, type Loop } from '../tasks/createLoop.js'
-import { DEFAULT_METRICS_MS } from './constants.js'
+import { DEFAULT_METRICS_INTERVAL_MS } from './constants.js'
 import { ControlPurpose } from './controlPurpose.js'
 import type { TrafficMeter } from './createTrafficMeter.js'
 import type { Metrics } from './metrics.js'
@@ -25,7 +25,7 @@
   return total === 0 ? 1 : (Math.max(...loads) * loads.length) / total
 }
 
-function byService(
+function groupByService(
   targets: readonly TargetStatus[],
 ): Map<string, TargetStatus[]> {
   const services = new Map<string, TargetStatus[]>()
@@ -52,7 +52,7 @@
   }
 
   function reportLoads(): void {
-    for (const [service, statuses] of byService(routing.status())) {
+    for (const [service, statuses] of groupByService(routing.status())) {
       const loads = statuses.map((status) => status.load)
       metrics.gauge('load.skew', loadSkew(loads), { service })
       for (const { id, load, bound } of statuses) {
@@ -70,7 +70,7 @@
       metrics.gauge('peers.live', membership.livePeers().length)
       return Promise.resolve()
     },
-    options.settings.metrics?.everyMs ?? DEFAULT_METRICS_MS,
+    options.settings.metrics?.everyMs ?? DEFAULT_METRICS_INTERVAL_MS,
     () => undefined,
   )
 }
--- a/packages/daemon/src/node/metrics/createTrafficMeter.ts
+++ b/packages/daemon/src/node/metrics/createTrafficMeter.ts
@@ -14,7 +14,7 @@
 
 type OpenConnection = (...args: unknown[]) => Socket
 
-function sizeOf(socket: Socket): number {
+function transferredBytes(socket: Socket): number {
   return socket.bytesRead + socket.bytesWritten
 }
 
@@ -27,7 +27,7 @@
     open.set(socket, purpose)
     socket.once('close', () => {
       open.delete(socket)
-      closed.set(purpose, (closed.get(purpose) ?? 0) + sizeOf(socket))
+      closed.set(purpose, (closed.get(purpose) ?? 0) + transferredBytes(socket))
     })
   }
 
@@ -50,7 +50,8 @@
           closed.get(purpose) ?? 0,
         ]),
       ) as Record<ControlPurpose, number>
-      for (const [socket, purpose] of open) totals[purpose] += sizeOf(socket)
+      for (const [socket, purpose] of open)
+        totals[purpose] += transferredBytes(socket)
       return totals
     },
   }
--- a/packages/daemon/src/node/settings/settingsSchema.ts
+++ b/packages/daemon/src/node/settings/settingsSchema.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 import { DEFAULT_CERTIFICATE_POLL_MS } from '../security/constants.js'
-import { DEFAULT_METRICS_MS } from '../metrics/constants.js'
+import { DEFAULT_METRICS_INTERVAL_MS } from '../metrics/constants.js'
 import { secretSchema } from '../security/secretSchema.js'
 import { clientTlsSchema, serverTlsSchema } from '../security/tlsSchema.js'
 import { LogFormat } from './logFormat.js'
@@ -72,7 +72,7 @@
       host: z.string(),
       port: z.int().min(1).max(65_535),
       /** Milliseconds between two reports of gauges. @default 10000 */
-      everyMs: positiveMs.default(DEFAULT_METRICS_MS),
+      everyMs: positiveMs.default(DEFAULT_METRICS_INTERVAL_MS),
     })
     .optional(),
   /** OTLP address over HTTP; traces are off without it. */
--- a/packages/daemon/src/node/stopping/stopCallers.ts
+++ b/packages/daemon/src/node/stopping/stopCallers.ts
@@ -5,10 +5,13 @@
 import { StopOutcome } from './stopOutcome.js'
 
 /** Milliseconds in which requests that are cut off get their verdict. */
-const CUT_OFF_GRACE_MS = 1_000
+const ABORT_GRACE_MS = 1_000
 
 /** Whether `event` comes within `ms` milliseconds. */
-async function comesWithin(event: Promise<void>, ms: number): Promise<boolean> {
+async function resolvesWithin(
+  event: Promise<void>,
+  ms: number,
+): Promise<boolean> {
   const timer = new AbortController()
   const { signal } = timer
   const late = sleep(ms, false, { signal }).catch(() => false)
@@ -27,12 +30,15 @@
   // The balancer goes on sending until it has seen readiness fail.
   await sleep(settings.balancerDelayMs)
   callers.rejectNewRequests()
-  const inTime = await comesWithin(callers.drained(), settings.drainTimeoutMs)
+  const inTime = await resolvesWithin(
+    callers.drained(),
+    settings.drainTimeoutMs,
+  )
   if (!inTime) {
     const count = callers.abortAll()
     logger.warn(`Cut off ${count} requests that outlasted the limit.`)
-    await comesWithin(callers.drained(), CUT_OFF_GRACE_MS)
+    await resolvesWithin(callers.drained(), ABORT_GRACE_MS)
   }
   await callers.close()
-  return inTime ? StopOutcome.Drained : StopOutcome.CutOff
+  return inTime ? StopOutcome.Drained : StopOutcome.Aborted
 }
--- a/packages/daemon/src/node/stopping/stopOutcome.ts
+++ b/packages/daemon/src/node/stopping/stopOutcome.ts
@@ -3,5 +3,5 @@
   /** Every request was answered in full. */
   Drained = 'drained',
   /** Requests that outlasted the limit were broken off. */
-  CutOff = 'cut-off',
+  Aborted = 'cut-off',
 }
--- a/packages/daemon/src/node/targets/__tests__/createTargetPoller.test.ts
+++ b/packages/daemon/src/node/targets/__tests__/createTargetPoller.test.ts
@@ -20,7 +20,7 @@
         if (rounds > ROUNDS) return []
         return all ? [busy, resting] : [busy]
       },
-      everyMs: 1,
+      intervalMs: 1,
       poll: (target) => {
         asked.push(target.id)
         return Promise.resolve()
--- a/packages/daemon/src/node/targets/constants.ts
+++ b/packages/daemon/src/node/targets/constants.ts
@@ -3,6 +3,6 @@
 /** Response header of an engine: the identity of the run. */
 export const RUN_ID_HEADER = 'x-run-id'
 /** Targets whose habits are remembered at most. */
-export const MAX_KNOWN_TARGETS = 16_384
+export const MAX_ECHOING_TARGETS = 16_384
 /** Milliseconds that cancelling a run may take. */
 export const CANCEL_TIMEOUT_MS = 1_000
--- a/packages/daemon/src/node/targets/createCacheEventReader.ts
+++ b/packages/daemon/src/node/targets/createCacheEventReader.ts
@@ -21,7 +21,7 @@
 export interface CacheEventReaderOptions {
   readonly targets: PolledTargets
   /** Milliseconds between two polls. */
-  readonly everyMs: number
+  readonly intervalMs: number
   readonly maxChats: number
   /** Key under which a chat is looked up. */
   readonly keyOf: (chat: string) => string
@@ -35,7 +35,7 @@
 export function createCacheEventReader(
   options: CacheEventReaderOptions,
 ): CacheEventReader {
-  const { targets, everyMs, maxChats, keyOf } = options
+  const { targets, intervalMs: everyMs, maxChats, keyOf } = options
   const { agent = new Agent({ keepAlive: true }) } = options
   const index = createHintIndex(maxChats)
 
@@ -55,7 +55,7 @@
     if (parsed.success) index.apply(target.id, parsed.data.events.map(keyed))
   }
 
-  const polling = createTargetPoller({ targets, everyMs, poll })
+  const polling = createTargetPoller({ targets, intervalMs: everyMs, poll })
   return {
     targetOf: (key) => index.targetOf(key),
     stop: async () => {
--- a/packages/daemon/src/node/targets/createLoadPoller.ts
+++ b/packages/daemon/src/node/targets/createLoadPoller.ts
@@ -41,7 +41,7 @@
     reports.set(target.id, { inFlight: parsed.data.inFlight, atMs: now() })
   }
 
-  const polling = createTargetPoller({ targets, everyMs, poll })
+  const polling = createTargetPoller({ targets, intervalMs: everyMs, poll })
   return {
     report: (targetId) => reports.get(targetId),
     stop: async () => {
--- a/packages/daemon/src/node/targets/createTargetClient.ts
+++ b/packages/daemon/src/node/targets/createTargetClient.ts
@@ -24,7 +24,7 @@
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import { CANCEL_TIMEOUT_MS } from './constants.js'
 import { headersToTarget } from './forwardedHeaders.js'
-import { readInTime } from './readInTime.js'
+import { readWithIdleTimeout } from './readWithIdleTimeout.js'
 import { createResponseValidator, runIdOf } from './responseValidator.js'
 import type { TargetAddress, TargetClient } from './targetClient.js'
 import type { TargetFailure } from './targetFailure.js'
@@ -87,7 +87,7 @@
       headers: body.headers,
       body,
       chunks: () =>
-        readInTime(body, settings.idleTimeoutMs, () => {
+        readWithIdleTimeout(body, settings.idleTimeoutMs, () => {
           pool.retireConnections(target.address)
         }),
     }
--- a/packages/daemon/src/node/targets/createTargetPoller.ts
+++ b/packages/daemon/src/node/targets/createTargetPoller.ts
@@ -8,22 +8,22 @@
 export interface TargetPollerOptions {
   readonly targets: PolledTargets
   /** Milliseconds between two rounds. */
-  readonly everyMs: number
+  readonly intervalMs: number
   /** Asks one target; does not reject. */
   readonly poll: (target: TargetAddress) => Promise<void>
 }
 
 /** Targets without requests are asked once in this many rounds. */
-const RESTING_ROUNDS = 10
+const IDLE_TARGET_POLL_ROUNDS = 10
 
 /** Starts asking targets, each round all at once. */
 export function createTargetPoller(options: TargetPollerOptions): Loop {
-  const { targets, everyMs, poll } = options
+  const { targets, intervalMs: everyMs, poll } = options
   let rounds = 0
   return createLoop(
     async () => {
       rounds += 1
-      const resting = rounds % RESTING_ROUNDS === 0
+      const resting = rounds % IDLE_TARGET_POLL_ROUNDS === 0
       await Promise.all(targets(resting).map(poll))
     },
     everyMs,
--- a/packages/daemon/src/node/targets/readInTime.ts
+++ b/packages/daemon/src/node/targets/readWithIdleTimeout.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage } from 'node:http'
 
 /** Yields a body's chunks; throws when none comes for `idleMs` milliseconds. */
-export async function* readInTime(
+export async function* readWithIdleTimeout(
   body: IncomingMessage,
   idleMs: number,
   onSilent: () => void,
--- a/packages/daemon/src/node/targets/responseValidator.ts
+++ b/packages/daemon/src/node/targets/responseValidator.ts
@@ -7,7 +7,7 @@
 import { LRUCache } from 'lru-cache'
 import type { RoutedRequest } from '../callers/routedRequest.js'
 import {
-  MAX_KNOWN_TARGETS,
+  MAX_ECHOING_TARGETS,
   REFUSED_HEADER,
   RUN_ID_HEADER,
 } from './constants.js'
@@ -16,7 +16,7 @@
 const FIRST_ERROR_STATUS = 400
 
 /** An answer that is not passed on, and how far its request came. */
-export interface RejectedReply {
+export interface RejectedResponse {
   readonly progress: AttemptProgress
   readonly message: string
 }
@@ -28,12 +28,12 @@
     targetId: string,
     request: RoutedRequest,
     reply: IncomingMessage,
-  ): RejectedReply | undefined
+  ): RejectedResponse | undefined
 }
 
 /** Creates the check; it remembers which engines echo identities. */
 export function createResponseValidator(): ResponseValidator {
-  const echoing = new LRUCache<string, true>({ max: MAX_KNOWN_TARGETS })
+  const echoing = new LRUCache<string, true>({ max: MAX_ECHOING_TARGETS })
 
   function isForeign(
     targetId: string,
--- a/packages/daemon/src/node/tracing/createTracing.ts
+++ b/packages/daemon/src/node/tracing/createTracing.ts
@@ -49,7 +49,7 @@
   close(): Promise<void>
 }
 
-function wrap(span: Span, parent: Context): HopSpan {
+function createHopSpan(span: Span, parent: Context): HopSpan {
   return {
     context: trace.setSpan(parent, span),
     setAttributes: (fields) => {
@@ -89,7 +89,10 @@
       return carrier
     },
     startSpan: (hop, parent, fields = {}) =>
-      wrap(tracer.startSpan(hop, { attributes: fields }, parent), parent),
+      createHopSpan(
+        tracer.startSpan(hop, { attributes: fields }, parent),
+        parent,
+      ),
     close: () => provider.shutdown(),
   }
 }
