--- a/packages/daemon/src/node/configuration/__tests__/fleetApi.ts
+++ b/packages/daemon/src/node/configuration/__tests__/fleetApi.ts
@@ -3,7 +3,9 @@
 
 const CALL_TIMEOUT_MS = 10_000
 
-/** Calls the administration API of one router. */
+/**
+ * Calls the administration API of one router; throws when the request fails.
+ */
 export async function callAdmin(
   fleet: Fleet,
   router: number,
@@ -11,30 +13,30 @@
   path: string,
   body?: unknown,
 ): Promise<JsonResponse> {
-  const reply = await requestJson({
+  const result = await requestJson({
     method,
     url: `${fleet.adminUrl(router)}${path}`,
     headers: { authorization: `Bearer ${TEST_ADMIN_TOKEN}` },
     body,
     timeoutMs: CALL_TIMEOUT_MS,
   })
-  return reply._unsafeUnwrap()
+  return result._unsafeUnwrap()
 }
 
-/** What tests look at in the answer of `/config/status`. */
+/** Fields of the `/config/status` response that tests check. */
 export interface ConfigurationStatus {
   readonly version: number
   readonly problem?: { readonly kind: string }
   readonly routers: readonly { readonly readsLog: boolean }[]
 }
 
-/** Returns what one router says of the versions it knows. */
+/** Fetches the configuration status of one router. */
 export async function getStatus(
   fleet: Fleet,
   router: number,
 ): Promise<ConfigurationStatus> {
-  const reply = await callAdmin(fleet, router, 'GET', '/config/status')
-  return reply.body as ConfigurationStatus
+  const result = await callAdmin(fleet, router, 'GET', '/config/status')
+  return result.body as ConfigurationStatus
 }
 
 /** Submits a patch that sets the default rank. */
--- a/packages/daemon/src/node/configuration/configurationPeers.ts
+++ b/packages/daemon/src/node/configuration/configurationPeers.ts
@@ -1,7 +1,7 @@
 import type { PeerStatus } from '../membership/createMembership.js'
 import type { ConfigurationPeer } from './configurationPeer.js'
 
-/** Returns what live peers say of their configuration. */
+/** Returns the configuration state that live peers report. */
 export function configurationPeers(
   peers: readonly PeerStatus[],
 ): ConfigurationPeer[] {
@@ -11,8 +11,8 @@
     if (!configuration) continue
     const { digest, nextOffset, logId, readsLog } = configuration
     const version = configurationVersion
-    const place = { id, address, dataCentre }
-    found.push({ ...place, version, digest, nextOffset, logId, readsLog })
+    const identity = { id, address, dataCentre }
+    found.push({ ...identity, version, digest, nextOffset, logId, readsLog })
   }
   return found
 }
--- a/packages/daemon/src/node/configuration/configurationTransfer.ts
+++ b/packages/daemon/src/node/configuration/configurationTransfer.ts
@@ -1,29 +1,29 @@
 import { z } from 'zod'
 
-/** Checks the request of a router that is behind. */
+/** Schema of a request for newer configuration state. */
 export const configurationTransferRequestSchema = z.strictObject({
-  /** The log that the router follows. */
+  /** Id of the log that the router follows. */
   logId: z.string().optional(),
-  /** Offset of the first record wanted. */
+  /** Offset of the first requested record. */
   from: z.int().min(0),
 })
 
-/** What a router that is behind asks a peer for. */
+/** Request for newer configuration state from a peer. */
 export type ConfigurationTransferRequest = z.infer<
   typeof configurationTransferRequestSchema
 >
 
-/** Checks the answer to a router that is behind. */
+/** Schema of the response with newer configuration state. */
 export const configurationTransferSchema = z.strictObject({
   logId: z.string(),
   nextOffset: z.int().min(0),
-  /** Absent when the peer no longer keeps all records wanted. */
+  /** Absent when the peer no longer holds all requested records. */
   records: z
     .array(z.strictObject({ offset: z.int(), value: z.unknown() }))
     .optional(),
-  /** Stands in for records that the peer no longer keeps. */
+  /** Sent instead of records that the peer no longer holds. */
   snapshot: z.unknown().optional(),
 })
 
-/** Records or a snapshot for a router that is behind. */
+/** Records or a snapshot from which a router catches up. */
 export type ConfigurationTransfer = z.infer<typeof configurationTransferSchema>
--- a/packages/daemon/src/node/configuration/createConfigurationStore.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationStore.ts
@@ -15,20 +15,25 @@
 } from './configurationTransfer.js'
 import { createRecordHistory } from './recordHistory.js'
 
-/** Holds the version in force; it never goes back. */
+/** Holds the current configuration; its version never decreases. */
 export interface ConfigurationStore {
   readonly state: ConfigurationState
-  /** Applies a page of the log or of a peer. */
+  /** Applies a page of records read from the log or from a peer. */
   applyPage(page: ConfigurationPage): void
-  /** Takes over a snapshot, unless it would lead back. */
+  /**
+   * Replaces the state by a snapshot, unless the snapshot is invalid or older.
+   */
   applySnapshot(value: unknown): void
-  /** Returns what a router that is behind needs; undefined without a log. */
+  /**
+   * Returns the records or the snapshot that a router needs to catch up;
+   * undefined until a log is known.
+   */
   createTransfer(
     since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
 }
 
-/** Creates a store that starts without a version. */
+/** Creates a store at version 0, before any record. */
 export function createConfigurationStore(
   logger: ConsolaInstance,
   metrics: Metrics,
@@ -36,20 +41,20 @@
   let state = createConfigurationState()
   const history = createRecordHistory()
 
-  function report(before: ConfigurationState): void {
+  function reportChange(before: ConfigurationState): void {
     if (state.version !== before.version)
       logger.info(`Version ${state.version} is in force.`)
     metrics.gauge('configuration.version', state.version)
     const { problem } = state
     metrics.gauge('configuration.problem', problem ? 1 : 0)
     if (problem && problem.kind !== before.problem?.kind) {
-      logger.error(`Not following the log: ${problem.message}.`)
+      logger.error(`Stopped following the log: ${problem.message}.`)
       metrics.count('configuration.problems', 1, { kind: problem.kind })
     }
-    if (!problem && before.problem) logger.info('Following the log again.')
+    if (!problem && before.problem) logger.info('Resumed following the log.')
   }
 
-  function apply(page: ConfigurationPage): void {
+  function applyPage(page: ConfigurationPage): void {
     const before = state
     const step = applyLogPage(before, page)
     state = step.state
@@ -62,25 +67,25 @@
     for (const { kind } of step.outcomes)
       if (kind !== PatchOutcomeKind.Applied)
         metrics.count('configuration.patches', 1, { kind })
-    report(before)
+    reportChange(before)
   }
 
-  function adopt(value: unknown): void {
+  function applySnapshot(value: unknown): void {
     const before = state
-    const adopted = restoreSnapshot(before, value)
-    if (adopted.isErr()) {
-      logger.warn(`Refused a snapshot: ${adopted.error.message}.`)
-      const { kind } = adopted.error
+    const restored = restoreSnapshot(before, value)
+    if (restored.isErr()) {
+      logger.warn(`Rejected a snapshot: ${restored.error.message}.`)
+      const { kind } = restored.error
       metrics.count('configuration.snapshots_refused', 1, { kind })
       return
     }
-    state = adopted.value
+    state = restored.value
     history.clear()
-    logger.info(`Took version ${state.version} over from a snapshot.`)
-    report(before)
+    logger.info(`Restored version ${state.version} from a snapshot.`)
+    reportChange(before)
   }
 
-  function transfer(
+  function createTransfer(
     since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined {
     const { logId, nextOffset } = state
@@ -95,8 +100,8 @@
     get state() {
       return state
     },
-    applyPage: apply,
-    applySnapshot: adopt,
-    createTransfer: transfer,
+    applyPage,
+    applySnapshot,
+    createTransfer,
   }
 }
--- a/packages/daemon/src/node/configuration/createConfigurationTailer.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationTailer.ts
@@ -12,36 +12,45 @@
 import { createPeerCatchUp } from './createPeerCatchUp.js'
 import { createSnapshotWriter } from './createSnapshotWriter.js'
 
-/** Follows the configuration stream and holds the version in force. */
+/** Follows the configuration stream and holds the current configuration. */
 export interface ConfigurationTailer {
   readonly state: ConfigurationState
-  /** Whether this router reads the log and the last read was answered. */
+  /** Whether this router reads the log and the last read succeeded. */
   readonly connected: boolean
-  /** Reads what the log has now; returns whether it answered. */
+  /**
+   * Applies the records that the log holds now; resolves to false when the read
+   * fails.
+   */
   refresh(): Promise<boolean>
-  /** Returns what a peer that is behind needs; undefined without a log. */
+  /**
+   * Returns the records or the snapshot that a peer needs to catch up;
+   * undefined until a log is known.
+   */
   createTransfer(
     since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
   stop(): Promise<void>
 }
 
-/** What following the configuration works with. */
+/** Options for {@link createConfigurationTailer}. */
 export interface ConfigurationTailerOptions {
   readonly log: LogClient
   readonly logger: ConsolaInstance
   readonly metrics: Metrics
   readonly router: { readonly id: string; readonly dataCentre: string }
-  /** Milliseconds that the log keeps a record. */
+  /** Retention time of the log, in milliseconds. */
   readonly retentionMs: number
-  /** Live peers. */
+  /** Live peers that report a configuration. */
   readonly peers: () => readonly ConfigurationPeer[]
-  /** Fetches from the peer at an address; rejects when it does not answer. */
+  /**
+   * Fetches newer state from the peer at an address; rejects when it does not
+   * respond.
+   */
   readonly fetch: (
     address: string,
     since: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
-  /** Milliseconds since the epoch. */
+  /** Current time, in milliseconds since the epoch. */
   readonly nowMs: () => number
 }
 
@@ -58,7 +67,7 @@
     shouldRead: () => shouldTail(router, peers()),
   })
   const followsLog = () => reader.connected
-  const follower = createPeerCatchUp({
+  const peerCatchUp = createPeerCatchUp({
     store,
     logger,
     metrics,
@@ -86,7 +95,7 @@
     refresh: () => reader.refresh(),
     createTransfer: (since) => store.createTransfer(since),
     stop: async () => {
-      await Promise.all([reader.stop(), follower.stop(), writer.stop()])
+      await Promise.all([reader.stop(), peerCatchUp.stop(), writer.stop()])
     },
   }
 }
--- a/packages/daemon/src/node/configuration/createLogReader.ts
+++ b/packages/daemon/src/node/configuration/createLogReader.ts
@@ -13,81 +13,90 @@
 import type { ConfigurationStore } from './createConfigurationStore.js'
 import { readSnapshots } from './readSnapshots.js'
 
-/** Reads the configuration stream into the store. */
+/** Polls the configuration stream and applies its records to the store. */
 export interface LogReader {
-  /** Whether this router reads the log and the last read was answered. */
+  /** Whether this router reads the log and the last read succeeded. */
   readonly connected: boolean
-  /** Reads what the log has now; returns whether it answered. */
+  /**
+   * Applies the records that the log holds now; resolves to false when the read
+   * fails.
+   */
   refresh(): Promise<boolean>
   stop(): Promise<void>
 }
 
-/** What a log reader works with. */
+/** Options for {@link createLogReader}. */
 export interface LogReaderOptions {
   readonly log: LogClient
   readonly store: ConfigurationStore
   readonly logger: ConsolaInstance
-  /** Whether this router reads the log now. */
+  /** Whether this router is one of those that read the log. */
   readonly shouldRead: () => boolean
 }
 
-const NEEDS_SNAPSHOT: ReadonlySet<ConfigurationProblemKind> = new Set([
+/** Problems that a snapshot of the log can resolve. */
+const SNAPSHOT_PROBLEMS: ReadonlySet<ConfigurationProblemKind> = new Set([
   ConfigurationProblemKind.LogReplaced,
   ConfigurationProblemKind.LogShortened,
   ConfigurationProblemKind.LogRewritten,
   ConfigurationProblemKind.RecordsMissing,
 ])
 
-/** Starts reading the configuration stream. */
+/** Starts polling the configuration stream. */
 export function createLogReader(options: LogReaderOptions): LogReader {
   const { log, store, logger } = options
   let connected = false
-  let startedFromSnapshot = false
+  let hasReadSnapshots = false
 
-  function missesLast(page: LogPage): boolean {
+  function lacksLastRecord(page: LogPage): boolean {
     const last = store.state.lastRecord?.offset
     const first = page.records[0]?.offset
     return last !== undefined && first !== undefined && first > last
   }
 
-  /** Reads a page that starts with the last record read, where it is kept. */
+  /**
+   * Waits for new records and returns a page that starts with the last applied
+   * record, where the log still holds it, so that a rewritten log is detected.
+   */
   async function readPage(waitMs: number): Promise<Result<LogPage, LogError>> {
     const { state } = store
     const from = state.problem ? nextReadOffset(state) : state.nextOffset
     const page = await log.read(CONFIGURATION_STREAM, from, waitMs)
-    if (page.isErr() || !missesLast(page.value)) return page
+    if (page.isErr() || !lacksLastRecord(page.value)) return page
     return log.read(CONFIGURATION_STREAM, nextReadOffset(store.state))
   }
 
-  async function takeSnapshot(): Promise<void> {
+  async function restoreFromSnapshot(): Promise<void> {
     const page = await readSnapshots(log)
     if (page.isErr()) return
     const values = page.value.records.map(({ value }) => value)
     const chosen = chooseSnapshot(store.state, page.value.logId, values)
     if (chosen.snapshot !== undefined) store.applySnapshot(chosen.snapshot)
-    startedFromSnapshot = true
+    hasReadSnapshots = true
   }
 
-  async function read(waitMs: number): Promise<boolean> {
-    if (!startedFromSnapshot) await takeSnapshot()
+  async function poll(waitMs: number): Promise<boolean> {
+    if (!hasReadSnapshots) await restoreFromSnapshot()
     const page = await readPage(waitMs)
     if (page.isErr()) {
-      if (connected) logger.warn(`Lost the log: ${page.error.message}.`)
+      if (connected)
+        logger.warn(`Log service unavailable: ${page.error.message}.`)
       return false
     }
     store.applyPage(page.value)
     const { problem } = store.state
-    if (problem && NEEDS_SNAPSHOT.has(problem.kind)) await takeSnapshot()
+    if (problem && SNAPSHOT_PROBLEMS.has(problem.kind))
+      await restoreFromSnapshot()
     return true
   }
 
-  async function round(signal: AbortSignal): Promise<void> {
-    connected = options.shouldRead() && (await read(LOG_POLL_WAIT_MS))
+  async function runOnce(signal: AbortSignal): Promise<void> {
+    connected = options.shouldRead() && (await poll(LOG_POLL_WAIT_MS))
     if (connected && !store.state.problem) return
     await sleep(LOG_RETRY_MS, undefined, { signal }).catch(() => undefined)
   }
 
-  const loop = createLoop(round, 0, (error) => {
+  const loop = createLoop(runOnce, 0, (error) => {
     connected = false
     logger.error(error)
   })
@@ -95,7 +104,7 @@
     get connected() {
       return connected
     },
-    refresh: () => read(0),
+    refresh: () => poll(0),
     stop: () => loop.stop(),
   }
 }
--- a/packages/daemon/src/node/configuration/createPeerCatchUp.ts
+++ b/packages/daemon/src/node/configuration/createPeerCatchUp.ts
@@ -14,46 +14,51 @@
 import { PEER_CATCH_UP_INTERVAL_MS } from './constants.js'
 import type { ConfigurationStore } from './createConfigurationStore.js'
 
-/** What following the peers works with. */
+/** Options for {@link createPeerCatchUp}. */
 export interface PeerCatchUpOptions {
   readonly store: ConfigurationStore
   readonly logger: ConsolaInstance
   readonly metrics: Metrics
   readonly peers: () => readonly ConfigurationPeer[]
-  /** Fetches from the peer at an address; rejects when it does not answer. */
+  /**
+   * Fetches newer state from the peer at an address; rejects when it does not
+   * respond.
+   */
   readonly fetch: (
     address: string,
     since: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
-  /** Whether the log itself keeps this router current. */
+  /** Whether this router follows the log itself. */
   readonly followsLog: () => boolean
 }
 
-/** Starts fetching from peers that are ahead. */
+/**
+ * Starts fetching newer versions from peers while the log cannot be followed.
+ */
 export function createPeerCatchUp(options: PeerCatchUpOptions): Loop {
   const { store, logger, metrics, peers } = options
-  let differing = ''
+  let reportedPeers = ''
   let seed = 0
 
-  function reportDiffering(): void {
+  function reportDifferingPeers(): void {
     const found = findDifferingPeers(store.state, peers()).join(', ')
-    if (found !== '' && found !== differing) {
-      const message = `Version ${store.state.version} has other contents on ${found}.`
+    if (found !== '' && found !== reportedPeers) {
+      const message = `Version ${store.state.version} differs from the one on ${found}.`
       logger.error(message)
       metrics.count('configuration.differing_peers')
     }
-    differing = found
+    reportedPeers = found
   }
 
-  function take(transfer: ConfigurationTransfer, from: number): void {
+  function applyTransfer(transfer: ConfigurationTransfer, from: number): void {
     const { logId, nextOffset, records, snapshot } = transfer
     if (records)
       store.applyPage({ logId, firstOffset: from, nextOffset, records })
     else if (snapshot !== undefined) store.applySnapshot(snapshot)
   }
 
-  async function round(): Promise<void> {
-    reportDiffering()
+  async function runOnce(): Promise<void> {
+    reportDifferingPeers()
     const { state } = store
     if (options.followsLog() && state.version > 0 && !state.problem) return
     seed += 1
@@ -62,10 +67,10 @@
     if (address === undefined) return
     const from = nextReadOffset(state)
     const { logId } = state
-    take(await options.fetch(address, { logId, from }), from)
+    applyTransfer(await options.fetch(address, { logId, from }), from)
   }
 
-  return createLoop(round, PEER_CATCH_UP_INTERVAL_MS, (error) => {
-    logger.debug(`A peer did not answer: ${String(error)}.`)
+  return createLoop(runOnce, PEER_CATCH_UP_INTERVAL_MS, (error) => {
+    logger.debug(`Catching up from a peer failed: ${String(error)}.`)
   })
 }
--- a/packages/daemon/src/node/configuration/createSnapshotWriter.ts
+++ b/packages/daemon/src/node/configuration/createSnapshotWriter.ts
@@ -14,35 +14,37 @@
 import type { ConfigurationStore } from './createConfigurationStore.js'
 import { readSnapshots } from './readSnapshots.js'
 
-/** What the writer of snapshots works with. */
+/** Options for {@link createSnapshotWriter}. */
 export interface SnapshotWriterOptions {
   readonly log: LogClient
   readonly store: ConfigurationStore
   readonly logger: ConsolaInstance
+  /** Id of this router. */
   readonly router: string
+  /** Ids of the live peers. */
   readonly liveRouters: () => readonly string[]
-  /** Milliseconds that the log keeps a record. */
+  /** Retention time of the log, in milliseconds. */
   readonly retentionMs: number
-  /** Milliseconds since the epoch. */
+  /** Current time, in milliseconds since the epoch. */
   readonly nowMs: () => number
-  /** Whether this router reads the log now. */
+  /** Whether this router follows the log itself. */
   readonly followsLog: () => boolean
 }
 
-function describe(record: LogRecord): WrittenSnapshot | undefined {
+function parseSnapshotRecord(record: LogRecord): WrittenSnapshot | undefined {
   const parsed = snapshotRecordSchema.safeParse(record.value)
   if (!parsed.success) return undefined
   const { version, nextOffset } = parsed.data
   return { version, nextOffset, atMs: record.atMs }
 }
 
-/** Starts keeping a fresh snapshot on the log. */
+/** Starts writing a snapshot to the log whenever one is due. */
 export function createSnapshotWriter(options: SnapshotWriterOptions): Loop {
   const { log, store, logger } = options
   let schedule: SnapshotSchedule = {}
   let last: WrittenSnapshot | undefined
 
-  function decide(): boolean {
+  function advanceSchedule(): boolean {
     const input: SnapshotScheduleInput = {
       version: store.state.version,
       nextOffset: store.state.nextOffset,
@@ -57,27 +59,27 @@
     return step.write
   }
 
-  async function lookUpLast(): Promise<boolean> {
+  async function fetchLastSnapshot(): Promise<boolean> {
     const page = await readSnapshots(log, 1)
     if (page.isErr()) return false
     const [newest] = page.value.records
-    last = newest ? describe(newest) : undefined
+    last = newest ? parseSnapshotRecord(newest) : undefined
     return true
   }
 
-  async function round(): Promise<void> {
+  async function runOnce(): Promise<void> {
     if (store.state.problem || !options.followsLog()) return
-    if (!decide()) return
-    // Another router may have written since this one last looked.
-    if (!(await lookUpLast()) || !decide()) return
+    if (!advanceSchedule()) return
+    // Another router may have written a snapshot since the last fetch.
+    if (!(await fetchLastSnapshot()) || !advanceSchedule()) return
     const snapshot = createSnapshot(store.state)
     const written = await log.append(SNAPSHOT_STREAM, [snapshot])
     if (written.isErr()) return
     logger.info(`Wrote a snapshot of version ${store.state.version}.`)
-    await lookUpLast()
+    await fetchLastSnapshot()
   }
 
-  return createLoop(round, SNAPSHOT_CHECK_INTERVAL_MS, (error) => {
+  return createLoop(runOnce, SNAPSHOT_CHECK_INTERVAL_MS, (error) => {
     logger.error(error)
   })
 }
--- a/packages/daemon/src/node/configuration/describeConfiguration.ts
+++ b/packages/daemon/src/node/configuration/describeConfiguration.ts
@@ -1,7 +1,9 @@
 import type { Heartbeat } from '../peers/heartbeat.js'
 import type { ConfigurationTailer } from './createConfigurationTailer.js'
 
-/** Returns what this router's heartbeats say of its configuration. */
+/**
+ * Returns the configuration state that this router reports in its heartbeats.
+ */
 export function describeConfiguration(
   tailer: ConfigurationTailer,
 ): Heartbeat['configuration'] {
--- a/packages/daemon/src/node/configuration/readSnapshots.ts
+++ b/packages/daemon/src/node/configuration/readSnapshots.ts
@@ -3,7 +3,7 @@
 import type { LogClient, LogError, LogPage } from '../logService/logClient.js'
 import { MAX_SNAPSHOTS_READ } from './constants.js'
 
-/** Reads the newest snapshots of the log, newest last. */
+/** Reads the newest `count` snapshots of the log, newest last. */
 export async function readSnapshots(
   log: LogClient,
   count = MAX_SNAPSHOTS_READ,
--- a/packages/daemon/src/node/configuration/recordHistory.ts
+++ b/packages/daemon/src/node/configuration/recordHistory.ts
@@ -6,25 +6,32 @@
   readonly characters: number
 }
 
-/** The newest records of the configuration stream, kept for peers. */
+/**
+ * Newest records of the configuration stream, served to peers that are behind.
+ */
 export interface RecordHistory {
   add(records: readonly ConfigurationLogRecord[]): void
   clear(): void
-  /** Returns the records from an offset on; undefined when some are gone. */
+  /**
+   * Returns the records from an offset on, or undefined when some were evicted.
+   */
   recordsFrom(offset: number): ConfigurationLogRecord[] | undefined
 }
 
-/** Creates a history bounded in records and characters. */
+/**
+ * Creates a history limited in records and in characters; the oldest are
+ * evicted first.
+ */
 export function createRecordHistory(): RecordHistory {
-  let kept: RetainedRecord[] = []
+  let retained: RetainedRecord[] = []
   let characters = 0
 
-  function trim(): void {
+  function evictOldest(): void {
     while (
-      kept.length > MAX_HISTORY_RECORDS ||
+      retained.length > MAX_HISTORY_RECORDS ||
       characters > MAX_HISTORY_CHARACTERS
     )
-      characters -= kept.shift()?.characters ?? characters
+      characters -= retained.shift()?.characters ?? characters
   }
 
   return {
@@ -32,19 +39,21 @@
       for (const { offset, value } of records) {
         const record = { offset, value }
         const length = JSON.stringify(record).length
-        kept.push({ record, characters: length })
+        retained.push({ record, characters: length })
         characters += length
       }
-      trim()
+      evictOldest()
     },
     clear() {
-      kept = []
+      retained = []
       characters = 0
     },
     recordsFrom(offset) {
-      const first = kept[0]?.record.offset
+      const first = retained[0]?.record.offset
       if (first === undefined || first > offset) return undefined
-      return kept.map(({ record }) => record).filter((r) => r.offset >= offset)
+      return retained
+        .map(({ record }) => record)
+        .filter((r) => r.offset >= offset)
     },
   }
 }
