--- a/packages/daemon/src/node/__tests__/callApi.ts
+++ b/packages/daemon/src/node/__tests__/callApi.ts
@@ -1,16 +1,16 @@
 import { Agent, type IncomingHttpHeaders, request } from 'node:http'
 import { CHAT_HEADER } from '@auburnbay/core'
 
-/** A whole answer as a caller saw it. */
+/** A response as a caller received it. */
 export interface CallerResponse {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly text: string
-  /** Whether the answer ended cleanly. */
+  /** Whether the response was received in full. */
   readonly complete: boolean
 }
 
-/** What a test sends. */
+/** Request that a test sends as a caller. */
 export interface CallerRequest {
   readonly url: string
   readonly method?: string
@@ -18,7 +18,7 @@
   readonly body?: string
 }
 
-/** Sends a request as a caller; rejects when there is no answer at all. */
+/** Sends a request as a caller; rejects when no response arrives. */
 export function callApi(call: CallerRequest): Promise<CallerResponse> {
   const { url, method = 'GET', headers = {}, body } = call
   return new Promise((resolve, reject) => {
@@ -46,7 +46,7 @@
   })
 }
 
-/** Sends a streamed chat request for the briefing service. */
+/** Sends a chat request with a streamed response to the `briefing` service. */
 export function callChat(
   baseUrl: string,
   key: string,
--- a/packages/daemon/src/node/__tests__/startFleet.ts
+++ b/packages/daemon/src/node/__tests__/startFleet.ts
@@ -26,22 +26,22 @@
 import { resolveSettings } from '../settings/resolveSettings.js'
 import type { Settings } from '../settings/settingsSchema.js'
 
-/** What a test fleet consists of. */
+/** Options for {@link startFleet}. */
 export interface FleetOptions {
   /** @default 1 */
   readonly routers?: number
   /** @default 2 */
   readonly engines?: number
   readonly engine?: EngineOptions
-  /** Settings on top of those of the test fleet. */
+  /** Settings that override those of the test fleet. */
   readonly settings?: Partial<Settings>
-  /** Parts that every router gets. */
+  /** Options of every daemon. */
   readonly parts?: DaemonOptions
-  /** Settings of one router on top of those. */
+  /** Returns the settings that override those for one router. */
   readonly settingsOf?: (index: number) => Partial<Settings>
 }
 
-/** Routers and stand-ins in one process. */
+/** Routers and stand-ins that run in one process. */
 export interface Fleet {
   readonly log: LogServiceStandIn
   readonly vmList: VmListStandIn
@@ -49,12 +49,13 @@
   readonly plain: PlainServiceStandIn
   readonly routers: Daemon[]
   readonly callerKey: string
-  /** Base URL of a router's listener for callers. */
+  /** Returns the base URL of a router's listener for callers. */
   callerUrl(router?: number): string
+  /** Returns the base URL of a router's administration listener. */
   adminUrl(router?: number): string
-  /** Submits operations against the version in force. */
+  /** Submits operations as a patch against version `base`. */
   patch(operations: readonly unknown[], base: number): Promise<JsonResponse>
-  /** Starts one more router and puts it on the VM list. */
+  /** Starts another router and adds it to the VM list. */
   addRouter(extra?: Partial<Settings>): Promise<Daemon>
   stop(): Promise<void>
 }
@@ -76,31 +77,34 @@
     vmList: { ...base.vmList, pollMs: 50 },
     peers: { heartbeatMs: 50 },
     targets: { reportMs: 50 },
-    // A busy machine must not push requests into the fall-back at random.
+    // Longer than by default, as delays on a busy machine would trigger the
+    // fallback.
     routing: { homeLimitMs: 500 },
     stopping: { ...base.stopping, drainTimeoutMs: 10_000 },
     ...extra,
   }
 }
 
-/** Polls `check` until it holds; throws after `CALL_TIMEOUT_MS`. */
+/** Polls `check` until it returns true; throws after `CALL_TIMEOUT_MS`. */
 export async function eventually(check: () => Promise<boolean> | boolean) {
-  const end = performance.now() + CALL_TIMEOUT_MS
-  while (performance.now() < end) {
+  const deadline = performance.now() + CALL_TIMEOUT_MS
+  while (performance.now() < deadline) {
     if (await check()) return
     await sleep(10)
   }
-  throw new Error('the expected state was not reached')
+  throw new Error(
+    `the expected state was not reached within ${CALL_TIMEOUT_MS} ms`,
+  )
 }
 
 async function isReady(router: Daemon): Promise<boolean> {
   const url = `http://${formatAddress(router.addresses.callers)}/readyz`
-  const reply = await requestJson({
+  const response = await requestJson({
     method: 'GET',
     url,
     timeoutMs: CALL_TIMEOUT_MS,
   })
-  return reply.isOk() && reply.value.status === 200
+  return response.isOk() && response.value.status === 200
 }
 
 function initialOperations(
@@ -125,7 +129,9 @@
   ]
 }
 
-/** Starts stand-ins and routers and puts version 1 in force. */
+/**
+ * Starts stand-ins and routers and submits a first configuration, version 1.
+ */
 export async function startFleet(options: FleetOptions = {}): Promise<Fleet> {
   const log = await createLogService()
   const vmList = await createVmList()
@@ -169,7 +175,7 @@
     callerUrl: (index = 0) => urlOf('callers', index),
     adminUrl: (index = 0) => urlOf('admin', index),
     patch: async (operations, base) => {
-      const reply = await requestJson({
+      const response = await requestJson({
         method: 'POST',
         url: `${urlOf('admin', 0)}/config/patches`,
         headers: { authorization: `Bearer ${TEST_ADMIN_TOKEN}` },
@@ -181,7 +187,7 @@
         },
         timeoutMs: CALL_TIMEOUT_MS,
       })
-      return reply._unsafeUnwrap()
+      return response._unsafeUnwrap()
     },
     stop: async () => {
       await Promise.all(routers.map((router) => router.stop()))
@@ -190,8 +196,8 @@
     },
   }
   const operations = initialOperations(engines, plain, key.stored)
-  const reply = await fleet.patch(operations, 0)
-  if (reply.status !== 200) throw new Error(JSON.stringify(reply.body))
+  const response = await fleet.patch(operations, 0)
+  if (response.status !== 200) throw new Error(JSON.stringify(response.body))
   await eventually(async () => {
     const ready = await Promise.all(routers.map(isReady))
     return ready.every(Boolean)
--- a/packages/daemon/src/node/__tests__/wholePath.test.ts
+++ b/packages/daemon/src/node/__tests__/wholePath.test.ts
@@ -4,7 +4,7 @@
 import { callApi, type CallerRequest, callChat } from './callApi.js'
 import { eventually, type Fleet, startFleet } from './startFleet.js'
 
-describe('the whole path', () => {
+describe('the request path', () => {
   let fleet: Fleet
 
   before(async () => {
@@ -13,7 +13,7 @@
 
   after(() => fleet.stop())
 
-  it('brings a returning chat to its cache through another router', async () => {
+  it('routes a returning chat to its cached target through another router', async () => {
     const key = fleet.callerKey
     const first = await callChat(fleet.callerUrl(0), key, 'voyage-1')
     const second = await callChat(fleet.callerUrl(1), key, 'voyage-1')
@@ -24,30 +24,30 @@
     assert.equal(second.headers[CACHE_HEADER], 'hit')
   })
 
-  it('brings a call to the plain service', async () => {
-    const answer = await callApi({
+  it('routes a request to the plain service', async () => {
+    const response = await callApi({
       url: `${fleet.callerUrl()}/v1/services/charts/notices`,
       method: 'POST',
       headers: { authorization: `Bearer ${fleet.callerKey}` },
       body: JSON.stringify({ notice: 7 }),
     })
-    assert.equal(answer.status, 200)
-    assert.equal(answer.headers[VERDICT_HEADER], 'ran')
+    assert.equal(response.status, 200)
+    assert.equal(response.headers[VERDICT_HEADER], 'ran')
     assert.equal(fleet.plain.calls.at(-1)?.path, '/notices')
   })
 
-  it('makes the routers know each other', async () => {
+  it('lists the peers of a router', async () => {
     await eventually(async () => {
       const { TEST_ADMIN_TOKEN } = await import('./startFleet.js')
-      const answer = await callApi({
+      const response = await callApi({
         url: `${fleet.adminUrl(0)}/routers`,
         headers: { authorization: `Bearer ${TEST_ADMIN_TOKEN}` },
       })
-      return answer.text.includes('router-2')
+      return response.text.includes('router-2')
     })
   })
 
-  describe('refuses bad input as not run', () => {
+  describe('rejects invalid requests as not run', () => {
     const chat = '/v1/chat/completions'
     const cases: {
       name: string
@@ -55,12 +55,12 @@
       call: (key: string) => Omit<CallerRequest, 'url'> & { path: string }
     }[] = [
       {
-        name: 'no key',
+        name: 'a missing key',
         status: 401,
         call: () => ({ path: chat, method: 'POST', body: '{}' }),
       },
       {
-        name: 'a wrong key',
+        name: 'an invalid key',
         status: 401,
         call: (key) => ({
           path: chat,
@@ -69,7 +69,7 @@
         }),
       },
       {
-        name: 'broken JSON',
+        name: 'malformed JSON',
         status: 400,
         call: (key) => ({
           path: chat,
@@ -104,17 +104,20 @@
     ]
     for (const { name, status, call } of cases) {
       it(name, async () => {
-        const ran = fleet.engines.reduce((sum, e) => sum + e.runs.length, 0)
+        const runsBefore = fleet.engines.reduce(
+          (sum, e) => sum + e.runs.length,
+          0,
+        )
         const { path, ...rest } = call(fleet.callerKey)
         const url = `${fleet.callerUrl()}${path}`
-        const answer = await callApi({ ...rest, url })
-        assert.equal(answer.status, status)
-        assert.equal(answer.headers[VERDICT_HEADER], 'not-run')
-        const ranAfter = fleet.engines.reduce(
+        const response = await callApi({ ...rest, url })
+        assert.equal(response.status, status)
+        assert.equal(response.headers[VERDICT_HEADER], 'not-run')
+        const runsAfter = fleet.engines.reduce(
           (sum, e) => sum + e.runs.length,
           0,
         )
-        assert.equal(ranAfter, ran)
+        assert.equal(runsAfter, runsBefore)
       })
     }
   })
--- a/packages/daemon/src/node/bin.ts
+++ b/packages/daemon/src/node/bin.ts
@@ -4,9 +4,12 @@
 import { StopOutcome } from './stopping/stopOutcome.js'
 import { loadSettings } from './settings/resolveSettings.js'
 
-const EXIT_BAD_SETTINGS = 2
+const EXIT_INVALID_SETTINGS = 2
 const EXIT_FAILED = 1
-/** Stopped, but requests that outlasted the limit were broken off. */
+/**
+ * The router stopped, but requests that exceeded the drain timeout were
+ * aborted.
+ */
 const EXIT_ABORTED = 3
 
 async function start(path: string, checkOnly: boolean): Promise<void> {
@@ -14,7 +17,7 @@
   if (settings.isErr()) {
     for (const problem of settings.error)
       process.stderr.write(`[settings] ${problem.path}: ${problem.message}\n`)
-    process.exitCode = EXIT_BAD_SETTINGS
+    process.exitCode = EXIT_INVALID_SETTINGS
     return
   }
   if (checkOnly) {
@@ -47,7 +50,7 @@
     checkSettings: flag({
       long: 'check-settings',
       type: boolean,
-      description: 'check the settings and end',
+      description: 'check the settings and exit',
     }),
   },
   handler: ({ settings, checkSettings }) =>
--- a/packages/daemon/src/node/constants.ts
+++ b/packages/daemon/src/node/constants.ts
@@ -1,22 +1,24 @@
-/** Milliseconds that a call to the log service may take. */
+/** Timeout of a call to the log service, in milliseconds. */
 export const LOG_CALL_TIMEOUT_MS = 2_000
-/** Milliseconds that a log read waits for new records. */
+/** Longest wait of a log read for new records, in milliseconds. */
 export const LOG_POLL_WAIT_MS = 1_000
-/** Milliseconds between tries while the log service is down. */
+/**
+ * Milliseconds between two attempts to read the log while it is unavailable.
+ */
 export const LOG_RETRY_MS = 500
-/** Milliseconds that a poll of the VM list may take. */
+/** Timeout of a poll of the VM list, in milliseconds. */
 export const VM_LIST_TIMEOUT_MS = 2_000
-/** Milliseconds that a call to a peer may take. */
+/** Timeout of a call to a peer, in milliseconds. */
 export const PEER_CALL_TIMEOUT_MS = 1_000
-/** Milliseconds that a load report may take. */
+/** Timeout of a poll of a target's load or cache events, in milliseconds. */
 export const LOAD_REPORT_TIMEOUT_MS = 1_000
-/** Milliseconds between the checks of a pending operation. */
+/** Milliseconds between two checks whether the log holds a submitted patch. */
 export const PATCH_CONFIRMATION_POLL_MS = 20
-/** Milliseconds until a submitted patch counts as unknown. */
+/** Milliseconds until the outcome of a submitted patch counts as unknown. */
 export const PATCH_CONFIRMATION_TIMEOUT_MS = 5_000
-/** Path prefix of calls to plain services. */
+/** Path prefix of requests to plain services. */
 export const SERVICE_PATH_PREFIX = '/v1/services/'
-/** Path of chat completions. */
+/** Path of chat completion requests. */
 export const CHAT_PATH = '/v1/chat/completions'
-/** Milliseconds between checks for callers that send too slowly. */
+/** Milliseconds between two checks for requests that arrive too slowly. */
 export const SLOW_CALLER_CHECK_MS = 250
--- a/packages/daemon/src/node/createDaemon.ts
+++ b/packages/daemon/src/node/createDaemon.ts
@@ -37,15 +37,15 @@
 import { createTargetClient } from './targets/createTargetClient.js'
 import { createTracing } from './tracing/createTracing.js'
 
-/** Starts a router; rejects when an address is in use. */
+/** Starts a router; rejects when a listen address is in use. */
 export async function createDaemon(
   settings: ResolvedSettings,
-  parts: DaemonOptions = {},
+  options: DaemonOptions = {},
 ): Promise<Daemon> {
   const logs = createLogs(settings.logs)
   const logger = logs.forComponent('daemon')
   const metrics = createMetrics(settings)
-  const tracing = createTracing(settings, parts.spanProcessors)
+  const tracing = createTracing(settings, options.spanProcessors)
   const now = (): number => performance.now()
   const incarnation = createIncarnation(Date.now(), randomUUID())
   let stopping = false
@@ -61,7 +61,7 @@
     router: settings.router,
     retentionMs: settings.logService.retentionMs,
     peers: () => configurationPeers(membership.livePeers()),
-    fetch: (address, since) => peerClient.configurationSince(address, since),
+    fetch: (address, req) => peerClient.configurationSince(address, req),
     nowMs: Date.now,
   })
   const configuration = () => tailer.state.configuration
@@ -81,7 +81,7 @@
     logger: logs.forComponent('health'),
     now,
   })
-  const eligible = (targetId: string, idempotent: boolean) =>
+  const isEligible = (targetId: string, idempotent: boolean) =>
     health.isEligible(targetId, idempotent)
   const routing = createRouting({
     settings,
@@ -90,20 +90,20 @@
     vms,
     membership: () => membership,
     client: peerClient,
-    reporter: () => reporter,
+    reporter: () => loadPoller,
     cacheEvents: () => cacheEvents,
-    eligible,
+    eligible: isEligible,
     metrics,
     now,
   })
-  const reporter = createLoadPoller(
-    (resting) => routing.coordinatedTargets(resting),
+  const loadPoller = createLoadPoller(
+    (includeIdle) => routing.coordinatedTargets(includeIdle),
     settings.targets.reportMs,
     now,
     agents.loads,
   )
   const cacheEvents = createCacheEventReader({
-    targets: (resting) => routing.coordinatedTargets(resting),
+    targets: (includeIdle) => routing.coordinatedTargets(includeIdle),
     intervalMs: settings.targets.reportMs,
     maxChats: settings.routing.indexedChats,
     keyOf: chatKey,
@@ -114,7 +114,7 @@
     configuration,
     vms,
     membership: () => membership,
-    eligible: (targetId) => eligible(targetId, true),
+    eligible: (targetId) => isEligible(targetId, true),
     metrics,
     now,
     epochNow: Date.now,
@@ -159,9 +159,9 @@
       membership.recordHeartbeat(heartbeat)
       return self()
     },
-    onConfigurationSince: (since) => tailer.createTransfer(since),
-    onGrant: (ask) => routing.onGrant(ask),
-    onCollect: (ask) => routing.onCollect(ask),
+    onConfigurationSince: (req) => tailer.createTransfer(req),
+    onGrant: (req) => routing.onGrant(req),
+    onCollect: (req) => routing.onCollect(req),
   }
   const peerServer = await createPeerServer(settings, handlers, network)
 
@@ -227,13 +227,13 @@
 
   async function stopOnce(): Promise<StopOutcome> {
     stopping = true
-    logger.info('Stopping; readiness now fails.')
+    logger.info('Stopping; the readiness check fails from now on.')
     const outcome = await stopCallers(callers, settings.stopping, logger)
-    const readers = [reporter, cacheEvents, vmList, tailer, claims]
+    const readers = [loadPoller, cacheEvents, vmList, tailer, claims]
     const tasks = [routing, membership, admission, orders, metricsReporter]
     const servers = [admin, peerServer, certificates]
-    const every = [...readers, ...tasks, ...servers]
-    await stopComponents(every, [tracing, metrics])
+    const components = [...readers, ...tasks, ...servers]
+    await stopComponents(components, [tracing, metrics])
     targets.close()
     peerClient.close()
     logger.info('Stopped.')
--- a/packages/daemon/src/node/daemon.ts
+++ b/packages/daemon/src/node/daemon.ts
@@ -3,26 +3,29 @@
 import type { Admission } from './admission/admission.js'
 import type { StopOutcome } from './stopping/stopOutcome.js'
 
-/** The addresses a daemon has taken. */
+/** Addresses on which a daemon listens. */
 export interface DaemonAddresses {
   readonly callers: ListenAddress
   readonly peers: ListenAddress
   readonly admin: ListenAddress
 }
 
-/** Parts that replace or extend the daemon's own. */
+/** Options for {@link createDaemon}. */
 export interface DaemonOptions {
-  /** Take every span besides the exporter of the settings. */
+  /** Process spans in addition to the exporter of the settings. */
   readonly spanProcessors?: SpanProcessor[]
 }
 
 /** A running router. */
 export interface Daemon {
   readonly addresses: DaemonAddresses
-  /** Requests that run and that wait. */
+  /** Numbers of running and waiting requests. */
   readonly load: Pick<Admission, 'running' | 'waiting'>
-  /** Stops gracefully; requests are cut off only beyond the settings' limit. */
+  /**
+   * Stops gracefully; aborts requests that exceed the drain timeout of the
+   * settings.
+   */
   stop(): Promise<StopOutcome>
-  /** Takes renewed certificates into use at once. */
+  /** Reloads renewed certificates at once. */
   readonly reloadCertificates: () => void
 }
--- a/packages/daemon/src/node/logService/createLogClient.ts
+++ b/packages/daemon/src/node/logService/createLogClient.ts
@@ -9,8 +9,8 @@
 import { LOG_CALL_TIMEOUT_MS } from '../constants.js'
 import type { LogClient, LogError } from './logClient.js'
 
-const appendReply = z.object({ firstOffset: z.int().min(0) })
-const pageReply = z.object({
+const appendResponse = z.object({ firstOffset: z.int().min(0) })
+const pageResponse = z.object({
   logId: z.string(),
   firstOffset: z.int().min(0),
   nextOffset: z.int().min(0),
@@ -19,22 +19,22 @@
   ),
 })
 
-function check<T>(
-  reply: Result<JsonResponse, RequestError>,
+function parseResponse<T>(
+  result: Result<JsonResponse, RequestError>,
   schema: z.ZodType<T>,
-  writes: boolean,
+  isWrite: boolean,
 ): Result<T, LogError> {
-  if (reply.isErr())
-    return err({ message: reply.error.message, mayHaveTakenEffect: writes })
-  const { status, body } = reply.value
+  if (result.isErr())
+    return err({ message: result.error.message, mayHaveTakenEffect: isWrite })
+  const { status, body } = result.value
   if (status !== 200) {
     const message = `the log service answered ${status}`
-    return err({ message, mayHaveTakenEffect: writes && status !== 503 })
+    return err({ message, mayHaveTakenEffect: isWrite && status !== 503 })
   }
   const parsed = schema.safeParse(body)
   if (parsed.success) return ok(parsed.data)
   const message = 'the log service sent an answer of another form'
-  return err({ message, mayHaveTakenEffect: writes })
+  return err({ message, mayHaveTakenEffect: isWrite })
 }
 
 /** Creates a client of the log service at `baseUrl`. */
@@ -42,27 +42,30 @@
   baseUrl: string,
   agent: Agent = new Agent({ keepAlive: true }),
 ): LogClient {
-  const url = (stream: string): string => `${baseUrl}/streams/${stream}/records`
+  const urlOf = (stream: string): string =>
+    `${baseUrl}/streams/${stream}/records`
   return {
     async append(stream, values) {
-      const reply = await requestJson({
+      const result = await requestJson({
         method: 'POST',
-        url: url(stream),
+        url: urlOf(stream),
         body: { records: values },
         timeoutMs: LOG_CALL_TIMEOUT_MS,
         agent,
       })
-      return check(reply, appendReply, true).map((body) => body.firstOffset)
+      return parseResponse(result, appendResponse, true).map(
+        (body) => body.firstOffset,
+      )
     },
     async read(stream, from, waitMs = 0, limit) {
-      const upTo = limit === undefined ? '' : `&limit=${limit}`
-      const reply = await requestJson({
+      const limitParam = limit === undefined ? '' : `&limit=${limit}`
+      const result = await requestJson({
         method: 'GET',
-        url: `${url(stream)}?from=${from}&waitMs=${waitMs}${upTo}`,
+        url: `${urlOf(stream)}?from=${from}&waitMs=${waitMs}${limitParam}`,
         timeoutMs: LOG_CALL_TIMEOUT_MS + waitMs,
         agent,
       })
-      const page = check(reply, pageReply, false)
+      const page = parseResponse(result, pageResponse, false)
       return page.isOk() ? ok(page.value) : err(page.error)
     },
   }
--- a/packages/daemon/src/node/logService/logClient.ts
+++ b/packages/daemon/src/node/logService/logClient.ts
@@ -7,11 +7,13 @@
   readonly value: unknown
 }
 
-/** A page of a stream. */
+/** Consecutive records of a stream. */
 export interface LogPage {
-  /** Identity of the log; another one means that the log was replaced. */
+  /** Id of the log; it changes when the log is replaced. */
   readonly logId: string
+  /** Offset of the oldest record that the stream holds. */
   readonly firstOffset: number
+  /** Offset of the next record to be appended. */
   readonly nextOffset: number
   readonly records: readonly LogRecord[]
 }
@@ -19,18 +21,21 @@
 /** A failed call to the log service. */
 export interface LogError {
   readonly message: string
-  /** Whether the write may have taken effect all the same. */
+  /** Whether the append may have succeeded nevertheless. */
   readonly mayHaveTakenEffect: boolean
 }
 
-/** Reads and appends to the platform's log service. */
+/** Client of the platform's log service. */
 export interface LogClient {
-  /** Appends values and returns the first one's offset. */
+  /** Appends values and returns the offset of the first one. */
   append(
     stream: string,
     values: readonly unknown[],
   ): Promise<Result<number, LogError>>
-  /** Reads from an offset on, waiting up to `waitMs` for a record. */
+  /**
+   * Reads up to `limit` records from an offset on; waits up to `waitMs` for the
+   * first.
+   */
   read(
     stream: string,
     from: number,
--- a/packages/daemon/src/node/logging/__tests__/createLogs.test.ts
+++ b/packages/daemon/src/node/logging/__tests__/createLogs.test.ts
@@ -5,22 +5,22 @@
 
 function capture(run: () => void): string {
   let output = ''
-  const write = mock.method(process.stderr, 'write', (text: unknown) => {
+  const writeMock = mock.method(process.stderr, 'write', (text: unknown) => {
     output += String(text)
     return true
   })
   run()
-  write.mock.restore()
+  writeMock.mock.restore()
   return output
 }
 
-describe('logs', () => {
-  it('are one JSON object a line with the part that speaks', () => {
+describe('createLogs', () => {
+  it('writes one JSON object per line with the component', () => {
     const output = capture(() => {
       const logs = createLogs({ format: LogFormat.Json, level: 3 })
       logs.forComponent('admin').info('Version 3 is in force.')
-      logs.forComponent('peers').warn('Router router-2 is silent.')
-      logs.forComponent('peers').debug('This is below the level.')
+      logs.forComponent('peers').warn('Router router-2 does not respond.')
+      logs.forComponent('peers').debug('This line is below the log level.')
     })
     const lines = output.trim().split('\n')
     const entries = lines.map((line) => JSON.parse(line) as object)
@@ -35,7 +35,7 @@
     assert.match(first.at, /^\d{4}-\d\d-\d\dT/)
   })
 
-  it('start with the part for people', () => {
+  it('writes human-readable lines with the component', () => {
     const output = capture(() => {
       const logs = createLogs({ format: LogFormat.Human, level: 3 })
       logs.forComponent('admin').info('Version 3 is in force.')
--- a/packages/daemon/src/node/logging/createLogs.ts
+++ b/packages/daemon/src/node/logging/createLogs.ts
@@ -2,9 +2,9 @@
 import { LogFormat } from '../settings/logFormat.js'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 
-/** Gives each part of the daemon its logger. */
+/** Loggers of the components of a daemon. */
 export interface Logs {
-  /** Returns the logger whose lines start with the part's name. */
+  /** Returns a logger that tags its lines with the component's name. */
   forComponent(name: string): ConsolaInstance
 }
 
--- a/packages/daemon/src/node/metrics/__tests__/metrics.test.ts
+++ b/packages/daemon/src/node/metrics/__tests__/metrics.test.ts
@@ -35,40 +35,43 @@
     statsd.close()
   })
 
-  const seen = (pattern: RegExp): Promise<void> =>
+  const isReported = (pattern: RegExp): Promise<void> =>
     eventually(() => lines.some((line) => pattern.test(line)))
 
-  it('count cache reuse', async () => {
+  it('count cache hits and misses', async () => {
     const tags = String.raw`.*service:briefing,customer:corrib`
-    await seen(new RegExp(`^auburnbay\\.cache\\.miss:1\\|c\\|#${tags}`))
-    await seen(new RegExp(`^auburnbay\\.cache\\.hit:1\\|c\\|#${tags}`))
+    await isReported(new RegExp(`^auburnbay\\.cache\\.miss:1\\|c\\|#${tags}`))
+    await isReported(new RegExp(`^auburnbay\\.cache\\.hit:1\\|c\\|#${tags}`))
   })
 
-  it('show the load skew of a service', () =>
-    seen(/^auburnbay\.load\.skew:[\d.]+\|g\|#.*service:briefing/))
+  it('report the load skew of a service', () =>
+    isReported(/^auburnbay\.load\.skew:[\d.]+\|g\|#.*service:briefing/))
 
   it('count control bytes by purpose', async () => {
     for (const purpose of Object.values(ControlPurpose))
-      await seen(
+      await isReported(
         new RegExp(
           `^auburnbay\\.control\\.bytes:[1-9]\\d*\\|c\\|#.*purpose:${purpose}`,
         ),
       )
   })
 
-  it('are all listed in the docs', async () => {
-    await seen(/^auburnbay\.peers\.live:1/)
+  it('are all listed in docs/metrics.md', async () => {
+    await isReported(/^auburnbay\.peers\.live:1/)
     const list = new URL('../../../../../../docs/metrics.md', import.meta.url)
     const docs = readFileSync(list, 'utf8')
     for (const line of lines) {
       const name = /^auburnbay\.([\w.-]+):/.exec(line)?.[1] ?? line
-      assert.ok(docs.includes(`\`${name}\``), `${name} is not in the list`)
+      assert.ok(
+        docs.includes(`\`${name}\``),
+        `${name} is not listed in docs/metrics.md`,
+      )
     }
   })
 })
 
 describe('loadSkew', () => {
-  it('is the highest load over the mean', () => {
+  it('is the highest load divided by the mean load', () => {
     assert.equal(loadSkew([]), 1)
     assert.equal(loadSkew([0, 0]), 1)
     assert.equal(loadSkew([3, 1]), 1.5)
--- a/packages/daemon/src/node/metrics/countCacheUse.ts
+++ b/packages/daemon/src/node/metrics/countCacheUse.ts
@@ -4,13 +4,13 @@
 
 const ENGINE_CACHE_HEADER = 'x-engine-cache'
 
-/** Counts whether the engine found the chat in its prompt cache. */
+/** Counts whether a request hit or missed the prompt cache of its engine. */
 export function countCacheUse(
   metrics: Metrics,
   request: RoutedRequest,
-  reply: TargetResponse,
+  res: TargetResponse,
 ): void {
-  const use = reply.headers[ENGINE_CACHE_HEADER]
+  const use = res.headers[ENGINE_CACHE_HEADER]
   if (use !== 'hit' && use !== 'miss') return
   const { service, customer } = request
   metrics.count(`cache.${use}`, 1, { service, customer })
--- a/packages/daemon/src/node/metrics/createMetrics.ts
+++ b/packages/daemon/src/node/metrics/createMetrics.ts
@@ -3,21 +3,23 @@
 import { FLUSH_INTERVAL_MS, MAX_DATAGRAM_BYTES } from './constants.js'
 import type { Metrics } from './metrics.js'
 
-/** Sends metrics to StatsD, or drops them without an address. */
+/**
+ * Creates metrics that are sent to StatsD, or dropped when no address is set.
+ */
 export function createMetrics(settings: ResolvedSettings): Metrics {
   const client = new StatsD({
     host: settings.metrics?.host,
     port: settings.metrics?.port,
     mock: settings.metrics === undefined,
     prefix: 'auburnbay.',
-    // One datagram carries many lines; one for each costs a system call each.
+    // Lines are batched, as a datagram for each line costs a system call.
     maxBufferSize: MAX_DATAGRAM_BYTES,
     bufferFlushInterval: FLUSH_INTERVAL_MS,
     globalTags: {
       router: settings.router.id,
       data_centre: settings.router.dataCentre,
     },
-    // A lost datagram must never stop a router.
+    // A send error must not stop the router.
     errorHandler: () => undefined,
   })
   return {
--- a/packages/daemon/src/node/metrics/createMetricsReporter.ts
+++ b/packages/daemon/src/node/metrics/createMetricsReporter.ts
@@ -8,7 +8,7 @@
 import type { TrafficMeter } from './createTrafficMeter.js'
 import type { Metrics } from './metrics.js'
 
-/** What is reported at intervals. */
+/** Options for {@link createMetricsReporter}. */
 export interface MetricsReporterOptions {
   readonly settings: Pick<ResolvedSettings, 'metrics'>
   readonly metrics: Metrics
@@ -18,7 +18,9 @@
   readonly membership: Pick<Membership, 'livePeers'>
 }
 
-/** Returns the highest load over the mean load; 1 while nothing runs. */
+/**
+ * Returns the highest load divided by the mean load; 1 when all loads are 0.
+ */
 export function loadSkew(loads: readonly number[]): number {
   let total = 0
   for (const load of loads) total += load
@@ -30,25 +32,25 @@
 ): Map<string, TargetStatus[]> {
   const services = new Map<string, TargetStatus[]>()
   for (const target of targets) {
-    const known = services.get(target.service) ?? []
-    known.push(target)
-    services.set(target.service, known)
+    const group = services.get(target.service) ?? []
+    group.push(target)
+    services.set(target.service, group)
   }
   return services
 }
 
-/** Starts reporting gauges and the control traffic. */
+/** Starts reporting gauges and control traffic at intervals. */
 export function createMetricsReporter(options: MetricsReporterOptions): Loop {
   const { metrics, traffic, routing, tailer, membership } = options
-  let before = traffic.bytes()
+  let lastBytes = traffic.bytes()
 
   function reportTraffic(): void {
-    const now = traffic.bytes()
+    const bytes = traffic.bytes()
     for (const purpose of Object.values(ControlPurpose))
-      metrics.count('control.bytes', now[purpose] - before[purpose], {
+      metrics.count('control.bytes', bytes[purpose] - lastBytes[purpose], {
         purpose,
       })
-    before = now
+    lastBytes = bytes
   }
 
   function reportLoads(): void {
--- a/packages/daemon/src/node/metrics/createTrafficMeter.ts
+++ b/packages/daemon/src/node/metrics/createTrafficMeter.ts
@@ -2,13 +2,13 @@
 import type { Socket } from 'node:net'
 import { ControlPurpose } from './controlPurpose.js'
 
-/** Counts the bytes of control traffic, headers and TLS included. */
+/** Counts the bytes of control traffic, including headers and TLS. */
 export interface TrafficMeter {
-  /** Counts a connection for a purpose. */
+  /** Counts the bytes of a connection under a purpose. */
   trackSocket(purpose: ControlPurpose, socket: Socket): void
-  /** Counts every connection that an agent opens from now on. */
+  /** Counts the bytes of each connection that an agent opens from now on. */
   trackAgent<T extends Agent>(purpose: ControlPurpose, agent: T): T
-  /** Bytes sent and received so far, by purpose. */
+  /** Returns the bytes sent and received so far, by purpose. */
   bytes(): Record<ControlPurpose, number>
 }
 
@@ -18,27 +18,30 @@
   return socket.bytesRead + socket.bytesWritten
 }
 
-/** Creates the meter of one router. */
+/** Creates the traffic meter of a router. */
 export function createTrafficMeter(): TrafficMeter {
-  const open = new Map<Socket, ControlPurpose>()
-  const closed = new Map<ControlPurpose, number>()
+  const openSockets = new Map<Socket, ControlPurpose>()
+  const closedBytes = new Map<ControlPurpose, number>()
 
-  function track(purpose: ControlPurpose, socket: Socket): void {
-    open.set(socket, purpose)
+  function trackSocket(purpose: ControlPurpose, socket: Socket): void {
+    openSockets.set(socket, purpose)
     socket.once('close', () => {
-      open.delete(socket)
-      closed.set(purpose, (closed.get(purpose) ?? 0) + transferredBytes(socket))
+      openSockets.delete(socket)
+      closedBytes.set(
+        purpose,
+        (closedBytes.get(purpose) ?? 0) + transferredBytes(socket),
+      )
     })
   }
 
   return {
-    trackSocket: track,
+    trackSocket,
     trackAgent(purpose, agent) {
       const connector = agent as unknown as { createConnection: OpenConnection }
       const connect = connector.createConnection.bind(agent)
       connector.createConnection = (...args) => {
         const socket = connect(...args)
-        track(purpose, socket)
+        trackSocket(purpose, socket)
         return socket
       }
       return agent
@@ -47,10 +50,10 @@
       const totals = Object.fromEntries(
         Object.values(ControlPurpose).map((purpose) => [
           purpose,
-          closed.get(purpose) ?? 0,
+          closedBytes.get(purpose) ?? 0,
         ]),
       ) as Record<ControlPurpose, number>
-      for (const [socket, purpose] of open)
+      for (const [socket, purpose] of openSockets)
         totals[purpose] += transferredBytes(socket)
       return totals
     },
--- a/packages/daemon/src/node/settings/__tests__/checkSettings.test.ts
+++ b/packages/daemon/src/node/settings/__tests__/checkSettings.test.ts
@@ -7,11 +7,11 @@
 import { fileURLToPath } from 'node:url'
 import { resolveSettings } from '../resolveSettings.js'
 
-const folder = mkdtempSync(join(tmpdir(), 'auburnbay-settings-'))
+const directory = mkdtempSync(join(tmpdir(), 'auburnbay-settings-'))
 const bin = fileURLToPath(new URL('../../bin.js', import.meta.url))
 
 function write(name: string, text: string): string {
-  const path = join(folder, name)
+  const path = join(directory, name)
   writeFileSync(path, text)
   return path
 }
@@ -41,7 +41,7 @@
     assert.equal(status, 0, stderr)
   })
 
-  it('names every wrong field, what was expected and what to do, and ends with 2', () => {
+  it('reports each invalid field with its expected value and exits with 2', () => {
     const { status, stderr } = check({
       ...valid,
       router: { id: 'Router 1', dataCentre: '' },
@@ -69,7 +69,7 @@
     assert.doesNotMatch(stderr, /"?short"?,/)
   })
 
-  it('names the file that it cannot read', () => {
+  it('reports a settings file that cannot be read', () => {
     const args = [bin, '--settings', '/nowhere.json']
     const run = spawnSync(process.execPath, args, { encoding: 'utf8' })
     assert.equal(run.status, 2)
--- a/packages/daemon/src/node/settings/logFormat.ts
+++ b/packages/daemon/src/node/settings/logFormat.ts
@@ -1,4 +1,4 @@
-/** How log lines are written. */
+/** Format of log lines. */
 export enum LogFormat {
   Human = 'human',
   Json = 'json',
--- a/packages/daemon/src/node/settings/resolveSettings.ts
+++ b/packages/daemon/src/node/settings/resolveSettings.ts
@@ -2,15 +2,15 @@
 import { err, ok, type Result } from 'neverthrow'
 import { type ResolvedSettings, settingsSchema } from './settingsSchema.js'
 
-/** One wrong field of the settings. */
+/** An invalid field of the settings. */
 export interface SettingsProblem {
-  /** Path of the field, `listen.callers.port`. */
+  /** Path of the field, such as `listen.callers.port`. */
   readonly path: string
-  /** What was expected and what to do. */
+  /** Expected value and how to correct the field. */
   readonly message: string
 }
 
-/** Checks settings and fills in the defaults. */
+/** Validates settings and applies the defaults. */
 export function resolveSettings(
   value: unknown,
 ): Result<ResolvedSettings, SettingsProblem[]> {
@@ -24,7 +24,7 @@
   )
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a JSON settings file. */
 export function loadSettings(
   path: string,
 ): Result<ResolvedSettings, SettingsProblem[]> {
--- a/packages/daemon/src/node/stopping/stopCallers.ts
+++ b/packages/daemon/src/node/stopping/stopCallers.ts
@@ -4,41 +4,45 @@
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import { StopOutcome } from './stopOutcome.js'
 
-/** Milliseconds in which requests that are cut off get their verdict. */
+/**
+ * Time in which aborted requests still receive their verdict, in milliseconds.
+ */
 const ABORT_GRACE_MS = 1_000
 
-/** Whether `event` comes within `ms` milliseconds. */
+/** Whether `event` resolves within `ms` milliseconds. */
 async function resolvesWithin(
   event: Promise<void>,
   ms: number,
 ): Promise<boolean> {
-  const timer = new AbortController()
-  const { signal } = timer
-  const late = sleep(ms, false, { signal }).catch(() => false)
-  const result = await Promise.race([event.then(() => true), late])
-  timer.abort()
+  const timeout = new AbortController()
+  const { signal } = timeout
+  const expired = sleep(ms, false, { signal }).catch(() => false)
+  const result = await Promise.race([event.then(() => true), expired])
+  timeout.abort()
   return result
 }
 
-/** Takes callers away from this router and ends what they still wait for. */
+/**
+ * Drains requests from callers and aborts those that exceed the drain timeout.
+ */
 export async function stopCallers(
   callers: CallerServer,
   settings: ResolvedSettings['stopping'],
   logger: ConsolaInstance,
 ): Promise<StopOutcome> {
   callers.disableKeepAlive()
-  // The balancer goes on sending until it has seen readiness fail.
+  // The load balancer keeps sending requests until it sees readiness fail.
   await sleep(settings.balancerDelayMs)
   callers.rejectNewRequests()
-  const inTime = await resolvesWithin(
+  const drained = await resolvesWithin(
     callers.drained(),
     settings.drainTimeoutMs,
   )
-  if (!inTime) {
+  if (!drained) {
     const count = callers.abortAll()
-    logger.warn(`Cut off ${count} requests that outlasted the limit.`)
+    logger.warn(`Aborted ${count} requests that exceeded the drain timeout.`)
     await resolvesWithin(callers.drained(), ABORT_GRACE_MS)
   }
   await callers.close()
-  return inTime ? StopOutcome.Drained : StopOutcome.Aborted
+  return drained ? StopOutcome.Drained : StopOutcome.Aborted
 }
--- a/packages/daemon/src/node/stopping/stopComponents.ts
+++ b/packages/daemon/src/node/stopping/stopComponents.ts
@@ -1,27 +1,32 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 
-/** Milliseconds that a router's parts may take to stop once no caller waits. */
+/** Timeout of stopping all components once no caller waits, in milliseconds. */
 const STOP_TIMEOUT_MS = 5_000
 
-/** A part that owns a task or a socket. */
+/** A component that owns a task or a socket. */
 export interface Stoppable {
   stop(): unknown
 }
 
-/** A part that holds what is still to be sent. */
+/** An exporter that flushes its buffer when it is closed. */
 export interface Closable {
   close(): Promise<void>
 }
 
-/** Stops parts and then closes exporters; gives up after `STOP_PARTS_MS`. */
+/**
+ * Stops components and then closes exporters; returns after `STOP_TIMEOUT_MS`
+ * at the latest.
+ */
 export async function stopComponents(
-  parts: readonly Stoppable[],
+  components: readonly Stoppable[],
   exporters: readonly Closable[],
 ): Promise<void> {
-  const stopped = Promise.all(parts.map((part) => Promise.resolve(part.stop())))
+  const stopped = Promise.all(
+    components.map((component) => Promise.resolve(component.stop())),
+  )
   const closed = stopped.then(() =>
     Promise.all(exporters.map((exporter) => exporter.close())),
   )
-  const late = sleep(STOP_TIMEOUT_MS, undefined, { ref: false })
-  await Promise.race([closed, late])
+  const timeout = sleep(STOP_TIMEOUT_MS, undefined, { ref: false })
+  await Promise.race([closed, timeout])
 }
--- a/packages/daemon/src/node/stopping/stopOutcome.ts
+++ b/packages/daemon/src/node/stopping/stopOutcome.ts
@@ -1,7 +1,7 @@
-/** How a router's stop ended. */
+/** Result of stopping a router. */
 export enum StopOutcome {
-  /** Every request was answered in full. */
+  /** Every request was completed. */
   Drained = 'drained',
-  /** Requests that outlasted the limit were broken off. */
+  /** Requests that exceeded the drain timeout were aborted. */
   Aborted = 'cut-off',
 }
--- a/packages/daemon/src/node/targets/__tests__/createTargetPoller.test.ts
+++ b/packages/daemon/src/node/targets/__tests__/createTargetPoller.test.ts
@@ -4,32 +4,35 @@
 import { createTargetPoller } from '../createTargetPoller.js'
 
 const busy = { id: 'engine-1', address: '127.0.0.1:1' }
-const resting = { id: 'engine-2', address: '127.0.0.1:2' }
+const idle = { id: 'engine-2', address: '127.0.0.1:2' }
 const ROUNDS = 20
 
-describe('polling targets', () => {
-  it('asks those at rest once in ten rounds', async () => {
-    const asked: string[] = []
+describe('createTargetPoller', () => {
+  it('polls idle targets once in ten rounds', async () => {
+    const polled: string[] = []
     let rounds = 0
     const events = new EventEmitter()
-    const played = once(events, 'played')
+    const finished = once(events, 'finished')
     const loop = createTargetPoller({
-      targets: (all) => {
+      targets: (includeIdle) => {
         rounds += 1
-        if (rounds === ROUNDS) events.emit('played')
+        if (rounds === ROUNDS) events.emit('finished')
         if (rounds > ROUNDS) return []
-        return all ? [busy, resting] : [busy]
+        return includeIdle ? [busy, idle] : [busy]
       },
       intervalMs: 1,
       poll: (target) => {
-        asked.push(target.id)
+        polled.push(target.id)
         return Promise.resolve()
       },
     })
-    await played
+    await finished
     await loop.stop()
-    const rests = asked.filter((id) => id === resting.id).length
-    const works = asked.filter((id) => id === busy.id).length
-    assert.deepEqual({ rests, works }, { rests: 2, works: ROUNDS })
+    const idlePolls = polled.filter((id) => id === idle.id).length
+    const busyPolls = polled.filter((id) => id === busy.id).length
+    assert.deepEqual(
+      { idlePolls, busyPolls },
+      { idlePolls: 2, busyPolls: ROUNDS },
+    )
   })
 })
--- a/packages/daemon/src/node/targets/createCacheEventReader.ts
+++ b/packages/daemon/src/node/targets/createCacheEventReader.ts
@@ -10,28 +10,31 @@
 import { createTargetPoller, type PolledTargets } from './createTargetPoller.js'
 import type { TargetAddress } from './targetClient.js'
 
-/** Knows from cache events which target holds a chat. */
+/** Tracks which target has a chat cached, from the engines' cache events. */
 export interface CacheEventReader {
-  /** Target that holds the chat with this key, as far as the events tell. */
+  /** Returns the target that has the chat with this key cached, if known. */
   targetOf(key: string): string | undefined
   stop(): Promise<void>
 }
 
-/** What a reader of cache events works with. */
+/** Options for {@link createCacheEventReader}. */
 export interface CacheEventReaderOptions {
   readonly targets: PolledTargets
   /** Milliseconds between two polls. */
   readonly intervalMs: number
+  /** Chats that are tracked at most. */
   readonly maxChats: number
-  /** Key under which a chat is looked up. */
+  /** Returns the key under which a chat is stored. */
   readonly keyOf: (chat: string) => string
-  /** Agent of the calls. @default a new one */
+  /**
+   * HTTP agent of the polls. @default a new agent that keeps connections alive
+   */
   readonly agent?: Agent
 }
 
-const replySchema = z.object({ events: z.array(cacheEventSchema) })
+const responseSchema = z.object({ events: z.array(cacheEventSchema) })
 
-/** Starts polling the cache events of the targets that `targets` names. */
+/** Starts polling the cache events of the targets that `targets` returns. */
 export function createCacheEventReader(
   options: CacheEventReaderOptions,
 ): CacheEventReader {
@@ -39,27 +42,28 @@
   const { agent = new Agent({ keepAlive: true }) } = options
   const index = createHintIndex(maxChats)
 
-  function keyed(event: CacheEvent): CacheEvent {
+  function withChatKey(event: CacheEvent): CacheEvent {
     return { ...event, chat: keyOf(event.chat) }
   }
 
   async function poll(target: TargetAddress): Promise<void> {
     const from = index.nextSequence(target.id)
-    const reply = await requestJson({
+    const result = await requestJson({
       method: 'GET',
       url: `http://${target.address}/cache-events?from=${from}`,
       timeoutMs: LOAD_REPORT_TIMEOUT_MS,
       agent,
     })
-    const parsed = replySchema.safeParse(reply.isOk() && reply.value.body)
-    if (parsed.success) index.apply(target.id, parsed.data.events.map(keyed))
+    const parsed = responseSchema.safeParse(result.isOk() && result.value.body)
+    if (parsed.success)
+      index.apply(target.id, parsed.data.events.map(withChatKey))
   }
 
-  const polling = createTargetPoller({ targets, intervalMs: everyMs, poll })
+  const poller = createTargetPoller({ targets, intervalMs: everyMs, poll })
   return {
     targetOf: (key) => index.targetOf(key),
     stop: async () => {
-      await polling.stop()
+      await poller.stop()
       agent.destroy()
     },
   }
--- a/packages/daemon/src/node/targets/createLoadPoller.ts
+++ b/packages/daemon/src/node/targets/createLoadPoller.ts
@@ -5,47 +5,48 @@
 import { createTargetPoller, type PolledTargets } from './createTargetPoller.js'
 import type { TargetAddress } from './targetClient.js'
 
-/** What a target said of its load. */
+/** Load that a target reported. */
 export interface LoadReport {
   readonly inFlight: number
-  /** Milliseconds of the monotonic clock. */
+  /** Time of the response, in milliseconds of the monotonic clock. */
   readonly atMs: number
 }
 
-/** Polls the load of targets. */
+/** Polls the load of targets and keeps the last report of each. */
 export interface LoadPoller {
+  /** Returns the last report of a target; undefined before the first one. */
   report(targetId: string): LoadReport | undefined
   stop(): Promise<void>
 }
 
 const loadSchema = z.object({ inFlight: z.number().min(0) })
 
-/** Starts polling the load of the targets that `targets` names. */
+/** Starts polling the load of the targets that `targets` returns. */
 export function createLoadPoller(
   targets: PolledTargets,
-  everyMs: number,
+  intervalMs: number,
   now: () => number,
   agent: Agent = new Agent({ keepAlive: true }),
 ): LoadPoller {
   const reports = new Map<string, LoadReport>()
 
   async function poll(target: TargetAddress): Promise<void> {
-    const reply = await requestJson({
+    const result = await requestJson({
       method: 'GET',
       url: `http://${target.address}/load`,
       timeoutMs: LOAD_REPORT_TIMEOUT_MS,
       agent,
     })
-    const parsed = loadSchema.safeParse(reply.isOk() && reply.value.body)
+    const parsed = loadSchema.safeParse(result.isOk() && result.value.body)
     if (!parsed.success) return
     reports.set(target.id, { inFlight: parsed.data.inFlight, atMs: now() })
   }
 
-  const polling = createTargetPoller({ targets, intervalMs: everyMs, poll })
+  const poller = createTargetPoller({ targets, intervalMs, poll })
   return {
     report: (targetId) => reports.get(targetId),
     stop: async () => {
-      await polling.stop()
+      await poller.stop()
       agent.destroy()
     },
   }
--- a/packages/daemon/src/node/targets/createTargetClient.ts
+++ b/packages/daemon/src/node/targets/createTargetClient.ts
@@ -32,7 +32,7 @@
 
 const EMPTY_BODY = Buffer.alloc(0)
 
-const CODES: Readonly<Record<ExchangeError, FailureCode>> = {
+const FAILURE_CODES: Readonly<Record<ExchangeError, FailureCode>> = {
   [ExchangeError.Broken]: FailureCode.TargetUnreachable,
   [ExchangeError.TimedOut]: FailureCode.TargetTimeout,
   [ExchangeError.Aborted]: FailureCode.DeadlinePassed,
@@ -44,7 +44,7 @@
 ): OutgoingHttpHeaders {
   return {
     ...headersToTarget(routed.headers),
-    // An encoded stream could not be checked for its end.
+    // The end of a compressed event stream could not be detected.
     ...(routed.serviceKind === ServiceKind.Model
       ? { 'accept-encoding': 'identity' }
       : {}),
@@ -54,7 +54,7 @@
   }
 }
 
-function describeFailure(
+function createTargetFailure(
   target: TargetAddress,
   failure: ExchangeFailure,
 ): TargetFailure {
@@ -62,23 +62,23 @@
   const message = `${target.id}: ${failure.message}`
   const { reusedConnection } = failure
   return {
-    ...createFailure(CODES[failure.error], message, verdict),
+    ...createFailure(FAILURE_CODES[failure.error], message, verdict),
     reusedConnection,
   }
 }
 
-/** Creates the client for requests to targets. */
+/** Creates a client that sends requests to targets. */
 export function createTargetClient(
   settings: ResolvedSettings['targets'],
-  /** Prepares agents, for TLS. */
-  prepare: <T extends Agent>(agent: T) => T = (agent) => agent,
+  /** Configures an agent, for example for TLS. */
+  configureAgent: <T extends Agent>(agent: T) => T = (agent) => agent,
 ): TargetClient {
-  const pool = prepare(new ConnectionPool(settings.pooledIdleMs))
-  // Without keepAlive every request opens a connection of its own.
-  const unpooled = prepare(new Agent({ keepAlive: false }))
-  const identity = createResponseValidator()
+  const pool = configureAgent(new ConnectionPool(settings.pooledIdleMs))
+  // Without keep-alive each request opens a new connection.
+  const unpooled = configureAgent(new Agent({ keepAlive: false }))
+  const validator = createResponseValidator()
 
-  function createReply(
+  function createResponse(
     target: TargetAddress,
     body: IncomingMessage,
   ): TargetResponse {
@@ -93,7 +93,7 @@
     }
   }
 
-  async function call(
+  async function sendExchange(
     target: TargetAddress,
     options: Omit<ExchangeOptions, 'url' | 'limits'> & { path: string },
   ): Promise<Result<IncomingMessage, TargetFailure>> {
@@ -112,16 +112,17 @@
       progress === AttemptProgress.Written
     )
       pool.retireConnections(target.address)
-    return err(describeFailure(target, result.error))
+    return err(createTargetFailure(target, result.error))
   }
 
-  function refuse(
+  function rejectResponse(
     target: TargetAddress,
     body: IncomingMessage,
     progress: AttemptProgress,
     reason: string,
   ): Result<never, TargetFailure> {
-    // A refusal's connection is in order; any other answer's is not.
+    // After a refusal the connection can be reused; after any other rejected
+    // response it cannot.
     if (progress === AttemptProgress.Refused) body.resume()
     else body.destroy()
     const { TargetFailed } = FailureCode
@@ -133,10 +134,11 @@
 
   return {
     async send(target, routed, traceHeaders, options = {}) {
-      // A kept connection may close while a request is on its way into it.
-      const alone = !routed.idempotent || options.newConnection === true
-      const result = await call(target, {
-        agent: alone ? unpooled : pool,
+      // A pooled connection may close while a request is being written to it.
+      const needsNewConnection =
+        !routed.idempotent || options.newConnection === true
+      const result = await sendExchange(target, {
+        agent: needsNewConnection ? unpooled : pool,
         method: routed.method,
         path: routed.path,
         headers: requestHeaders(routed, traceHeaders),
@@ -145,13 +147,13 @@
       })
       if (result.isErr()) return err(result.error)
       const body = result.value
-      const rejected = identity.check(target.id, routed, body)
-      if (!rejected) return ok(createReply(target, body))
-      return refuse(target, body, rejected.progress, rejected.message)
+      const rejected = validator.check(target.id, routed, body)
+      if (!rejected) return ok(createResponse(target, body))
+      return rejectResponse(target, body, rejected.progress, rejected.message)
     },
 
     async resume(target, routed, { runId, from }, traceHeaders) {
-      const result = await call(target, {
+      const result = await sendExchange(target, {
         agent: unpooled,
         method: 'GET',
         path: `/v1/runs/${encodeURIComponent(runId)}/stream?from=${from}`,
@@ -163,10 +165,20 @@
       const body = result.value
       const { Written } = AttemptProgress
       if (body.statusCode !== 200)
-        return refuse(target, body, Written, 'the run cannot be resumed')
+        return rejectResponse(
+          target,
+          body,
+          Written,
+          'the run cannot be resumed',
+        )
       if (runIdOf(body) !== runId)
-        return refuse(target, body, Written, 'the target resumed another run')
-      return ok(createReply(target, body))
+        return rejectResponse(
+          target,
+          body,
+          Written,
+          'the target resumed another run',
+        )
+      return ok(createResponse(target, body))
     },
 
     cancel(target, runId) {
--- a/packages/daemon/src/node/targets/createTargetPoller.ts
+++ b/packages/daemon/src/node/targets/createTargetPoller.ts
@@ -1,30 +1,33 @@
 import { createLoop, type Loop } from '../tasks/createLoop.js'
 import type { TargetAddress } from './targetClient.js'
 
-/** Which targets a round asks: those at work, or those without requests too. */
-export type PolledTargets = (resting: boolean) => readonly TargetAddress[]
+/**
+ * Returns the targets to poll: those with requests and, if asked, the idle
+ * ones.
+ */
+export type PolledTargets = (includeIdle: boolean) => readonly TargetAddress[]
 
-/** What a poller works with. */
+/** Options for {@link createTargetPoller}. */
 export interface TargetPollerOptions {
   readonly targets: PolledTargets
-  /** Milliseconds between two rounds. */
+  /** Milliseconds between two rounds of polls. */
   readonly intervalMs: number
-  /** Asks one target; does not reject. */
+  /** Polls one target; must not reject. */
   readonly poll: (target: TargetAddress) => Promise<void>
 }
 
-/** Targets without requests are asked once in this many rounds. */
+/** Idle targets are polled once in this many rounds. */
 const IDLE_TARGET_POLL_ROUNDS = 10
 
-/** Starts asking targets, each round all at once. */
+/** Starts polling targets; a round polls all of them concurrently. */
 export function createTargetPoller(options: TargetPollerOptions): Loop {
   const { targets, intervalMs: everyMs, poll } = options
   let rounds = 0
   return createLoop(
     async () => {
       rounds += 1
-      const resting = rounds % IDLE_TARGET_POLL_ROUNDS === 0
-      await Promise.all(targets(resting).map(poll))
+      const includeIdle = rounds % IDLE_TARGET_POLL_ROUNDS === 0
+      await Promise.all(targets(includeIdle).map(poll))
     },
     everyMs,
     () => undefined,
--- a/packages/daemon/src/node/targets/forwardedHeaders.ts
+++ b/packages/daemon/src/node/targets/forwardedHeaders.ts
@@ -1,11 +1,11 @@
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http'
 import { connectionOptions, HOP_BY_HOP } from '@auburnbay/http-utils'
 
-const DROPPED = new Set(HOP_BY_HOP)
+const HOP_BY_HOP_HEADERS = new Set(HOP_BY_HOP)
 
-const OWN_HEADER_PREFIX = 'x-auburnbay-'
+const ROUTER_HEADER_PREFIX = 'x-auburnbay-'
 
-const NEVER_TO_TARGETS = new Set([
+const WITHHELD_FROM_TARGETS = new Set([
   'authorization',
   'host',
   'content-length',
@@ -20,31 +20,34 @@
   return new Set(connectionOptions(headers.connection ?? ''))
 }
 
-/** Returns the headers of a caller's request that go on to a target. */
+/** Returns the headers of a caller's request that are forwarded to a target. */
 export function headersToTarget(
   headers: IncomingHttpHeaders,
 ): OutgoingHttpHeaders {
-  const named = connectionTokens(headers)
-  const kept: OutgoingHttpHeaders = {}
+  const connectionHeaders = connectionTokens(headers)
+  const forwarded: OutgoingHttpHeaders = {}
   for (const [name, value] of Object.entries(headers)) {
-    if (DROPPED.has(name) || NEVER_TO_TARGETS.has(name)) continue
-    if (named.has(name)) continue
-    kept[name] = value
+    if (HOP_BY_HOP_HEADERS.has(name) || WITHHELD_FROM_TARGETS.has(name))
+      continue
+    if (connectionHeaders.has(name)) continue
+    forwarded[name] = value
   }
-  return kept
+  return forwarded
 }
 
-/** Returns the headers of a target's answer that go back to the caller. */
+/**
+ * Returns the headers of a target's response that are forwarded to the caller.
+ */
 export function headersToCaller(
   headers: IncomingHttpHeaders,
 ): OutgoingHttpHeaders {
-  const named = connectionTokens(headers)
-  const kept: OutgoingHttpHeaders = {}
+  const connectionHeaders = connectionTokens(headers)
+  const forwarded: OutgoingHttpHeaders = {}
   for (const [name, value] of Object.entries(headers)) {
-    if (DROPPED.has(name) || named.has(name)) continue
-    // Only routers say what these headers say.
-    if (name.startsWith(OWN_HEADER_PREFIX)) continue
-    kept[name] = value
+    if (HOP_BY_HOP_HEADERS.has(name) || connectionHeaders.has(name)) continue
+    // These headers are set by routers only.
+    if (name.startsWith(ROUTER_HEADER_PREFIX)) continue
+    forwarded[name] = value
   }
-  return kept
+  return forwarded
 }
--- a/packages/daemon/src/node/targets/readWithIdleTimeout.ts
+++ b/packages/daemon/src/node/targets/readWithIdleTimeout.ts
@@ -1,18 +1,21 @@
 import type { IncomingMessage } from 'node:http'
 
-/** Yields a body's chunks; throws when none comes for `idleMs` milliseconds. */
+/**
+ * Yields a body's chunks; throws when none arrives for `idleMs` milliseconds.
+ */
 export async function* readWithIdleTimeout(
   body: IncomingMessage,
   idleMs: number,
-  onSilent: () => void,
+  onTimeout: () => void,
 ): AsyncGenerator<Buffer, void, void> {
   const chunks = body[Symbol.asyncIterator]() as AsyncIterator<Buffer>
   try {
     for (;;) {
-      // Only the wait for the target counts, not that for a slow caller.
+      // The timer runs only while waiting for the target, not for a slow
+      // caller.
       const timer = setTimeout(() => {
-        onSilent()
-        body.destroy(new Error('the target went silent'))
+        onTimeout()
+        body.destroy(new Error(`the target sent no data for ${idleMs} ms`))
       }, idleMs)
       const next = await chunks.next().finally(() => {
         clearTimeout(timer)
--- a/packages/daemon/src/node/targets/responseValidator.ts
+++ b/packages/daemon/src/node/targets/responseValidator.ts
@@ -15,42 +15,50 @@
 const REFUSED_BEFORE_RUNNING = 'before-running'
 const FIRST_ERROR_STATUS = 400
 
-/** An answer that is not passed on, and how far its request came. */
+/** A response that is not forwarded, and how far its request progressed. */
 export interface RejectedResponse {
   readonly progress: AttemptProgress
   readonly message: string
 }
 
-/** Tells a request's own answer from a refusal and from another's answer. */
+/** Detects refusals and responses that belong to another request. */
 export interface ResponseValidator {
-  /** Returns why the answer is not passed on, or undefined. */
+  /**
+   * Returns why the response must not be forwarded, or undefined when it may
+   * be.
+   */
   check(
     targetId: string,
     request: RoutedRequest,
-    reply: IncomingMessage,
+    res: IncomingMessage,
   ): RejectedResponse | undefined
 }
 
-/** Creates the check; it remembers which engines echo identities. */
+/** Creates a validator that records which targets echo request ids. */
 export function createResponseValidator(): ResponseValidator {
-  const echoing = new LRUCache<string, true>({ max: MAX_ECHOING_TARGETS })
+  const echoingTargets = new LRUCache<string, true>({
+    max: MAX_ECHOING_TARGETS,
+  })
 
-  function isForeign(
+  function isForAnotherRequest(
     targetId: string,
     request: RoutedRequest,
-    reply: IncomingMessage,
+    res: IncomingMessage,
   ): boolean {
-    const echoed = reply.headers[REQUEST_ID_HEADER]
+    const echoed = res.headers[REQUEST_ID_HEADER]
     if (echoed !== undefined) return echoed !== request.id
-    // Proxies and parsers in front of an engine answer errors without an echo.
-    const status = reply.statusCode ?? 0
+    // Proxies and HTTP parsers in front of an engine send errors without the
+    // request id.
+    const status = res.statusCode ?? 0
     if (status >= FIRST_ERROR_STATUS) return false
-    return request.serviceKind === ServiceKind.Model && echoing.has(targetId)
+    return (
+      request.serviceKind === ServiceKind.Model && echoingTargets.has(targetId)
+    )
   }
 
   return {
-    check(targetId, request, reply) {
-      const { headers, statusCode = 0 } = reply
+    check(targetId, request, res) {
+      const { headers, statusCode = 0 } = res
       if (
         headers[REFUSED_HEADER] === REFUSED_BEFORE_RUNNING &&
         statusCode >= FIRST_ERROR_STATUS
@@ -58,20 +66,21 @@
         const message = 'the target refused the request before running it'
         return { progress: AttemptProgress.Refused, message }
       }
-      if (isForeign(targetId, request, reply)) {
+      if (isForAnotherRequest(targetId, request, res)) {
         const message = 'the target answered another request'
         return { progress: AttemptProgress.Written, message }
       }
-      if (headers[REQUEST_ID_HEADER] !== undefined) echoing.set(targetId, true)
+      if (headers[REQUEST_ID_HEADER] !== undefined)
+        echoingTargets.set(targetId, true)
       return undefined
     },
   }
 }
 
-/** Returns the identity of the run that an engine's answer belongs to. */
-export function runIdOf(reply: {
+/** Returns the id of the run that an engine's response belongs to. */
+export function runIdOf(res: {
   readonly headers: IncomingMessage['headers']
 }): string | undefined {
-  const value = reply.headers[RUN_ID_HEADER]
+  const value = res.headers[RUN_ID_HEADER]
   return Array.isArray(value) ? value[0] : value
 }
--- a/packages/daemon/src/node/targets/targetFailure.ts
+++ b/packages/daemon/src/node/targets/targetFailure.ts
@@ -2,6 +2,9 @@
 
 /** A failed attempt on one target. */
 export interface TargetFailure extends RequestFailure {
-  /** Whether a connection kept from earlier requests was to blame. */
+  /**
+   * Whether the request was sent on a connection reused from an earlier
+   * request.
+   */
   readonly reusedConnection: boolean
 }
--- a/packages/daemon/src/node/tasks/createLoop.ts
+++ b/packages/daemon/src/node/tasks/createLoop.ts
@@ -1,15 +1,18 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 
-/** A running loop. */
+/** A loop that runs until it is stopped. */
 export interface Loop {
-  /** Ends the loop and resolves after its last round. */
+  /** Stops the loop and resolves after its last iteration. */
   stop(): Promise<void>
 }
 
-/** Runs `round` again and again, `pauseMs` apart, until it is stopped. */
+/**
+ * Starts a loop that runs `runOnce` repeatedly, with `delayMs` milliseconds
+ * between iterations.
+ */
 export function createLoop(
-  round: (signal: AbortSignal) => Promise<void>,
-  pauseMs: number,
+  runOnce: (signal: AbortSignal) => Promise<void>,
+  delayMs: number,
   onError: (error: unknown) => void,
 ): Loop {
   const stopping = new AbortController()
@@ -18,15 +21,16 @@
   const stopped = (): boolean => signal.aborted
 
   async function run(): Promise<void> {
-    // The caller may still create what the first round needs.
+    // Deferred, as the caller may still have to create what the first iteration
+    // uses.
     await Promise.resolve()
     while (!stopped()) {
       try {
-        await round(signal)
+        await runOnce(signal)
       } catch (error) {
         if (!stopped()) onError(error)
       }
-      await sleep(pauseMs, undefined, { signal }).catch(() => undefined)
+      await sleep(delayMs, undefined, { signal }).catch(() => undefined)
     }
   }
 
--- a/packages/daemon/src/node/tasks/createMailbox.ts
+++ b/packages/daemon/src/node/tasks/createMailbox.ts
@@ -1,13 +1,13 @@
 import PQueue from 'p-queue'
 
-/** The inbox of a task: messages are handled one after another. */
+/** Message queue of a task; messages are handled one at a time, in order. */
 export interface Mailbox<M> {
   send(message: M): void
-  /** Resolves once every message sent so far was handled. */
+  /** Resolves when the queue is empty. */
   drained(): Promise<void>
 }
 
-/** Creates an inbox; an error in `handle` goes to `onError`. */
+/** Creates a mailbox; errors thrown by `handle` are passed to `onError`. */
 export function createMailbox<M>(
   handle: (message: M) => Promise<void> | void,
   onError: (error: unknown) => void,
--- a/packages/daemon/src/node/tracing/__tests__/hops.test.ts
+++ b/packages/daemon/src/node/tracing/__tests__/hops.test.ts
@@ -26,7 +26,7 @@
 const PARENT_ID = 'b7ad6b7169203331'
 const TRACEPARENT = `00-${TRACE_ID}-${PARENT_ID}-01`
 
-describe('a trace', () => {
+describe('tracing', () => {
   let fleet: Fleet
   let target: WebServer
   let targetHeaders: IncomingHttpHeaders = {}
@@ -66,14 +66,14 @@
 
   const spans = (hop: Hop): ReadableSpan[] =>
     exporter.getFinishedSpans().filter((span) => span.name === (hop as string))
-  const finished = (hop: Hop, count: number): Promise<void> =>
+  const finishedSpans = (hop: Hop, count: number): Promise<void> =>
     eventually(() => spans(hop).length === count)
 
-  it('has a span for each hop with customer, service, target, rank and verdict', async () => {
+  it('records a span for each hop with customer, service, target, rank and verdict', async () => {
     const headers = { traceparent: TRACEPARENT }
     await callChat(fleet.callerUrl(), fleet.callerKey, 'voyage', headers)
-    await finished(Hop.Accept, 1)
-    await finished(Hop.Target, 1)
+    await finishedSpans(Hop.Accept, 1)
+    await finishedSpans(Hop.Target, 1)
     const [accept] = spans(Hop.Accept)
     assert.equal(accept?.parentSpanContext?.spanId, PARENT_ID)
     for (const hop of [Hop.Accept, Hop.Queue, Hop.Decide, Hop.Target]) {
@@ -93,7 +93,7 @@
     assert.equal(accept.attributes.verdict, 'ran')
   })
 
-  it('goes on to the target', async () => {
+  it('propagates the trace context to the target', async () => {
     await callApi({
       url: `${fleet.callerUrl()}/v1/services/echo/x`,
       headers: {
@@ -101,16 +101,16 @@
         traceparent: TRACEPARENT,
       },
     })
-    await finished(Hop.Target, 1)
+    await finishedSpans(Hop.Target, 1)
     const spanId = spans(Hop.Target)[0]?.spanContext().spanId ?? ''
     assert.equal(targetHeaders.traceparent, `00-${TRACE_ID}-${spanId}-01`)
   })
 
-  it('spans two routers that serve the same caller', async () => {
+  it('joins the spans of two routers in one trace', async () => {
     const headers = { traceparent: TRACEPARENT }
     for (const router of [0, 1])
       await callChat(fleet.callerUrl(router), fleet.callerKey, 'v', headers)
-    await finished(Hop.Accept, 2)
+    await finishedSpans(Hop.Accept, 2)
     const routers = spans(Hop.Accept).map((span) => {
       assert.equal(span.spanContext().traceId, TRACE_ID)
       return span.resource.attributes['service.instance.id']
@@ -118,14 +118,14 @@
     assert.deepEqual(routers, ['router-1', 'router-2'])
   })
 
-  it('carries the verdict of a failure', async () => {
+  it('records the verdict of a failed request', async () => {
     const { faults } = fleet.engines[0] ?? {}
     assert.ok(faults)
     faults.refuse = true
     try {
-      const answer = await callChat(fleet.callerUrl(), fleet.callerKey, 'v')
-      assert.ok(answer.status >= 500)
-      await finished(Hop.Accept, 1)
+      const response = await callChat(fleet.callerUrl(), fleet.callerKey, 'v')
+      assert.ok(response.status >= 500)
+      await finishedSpans(Hop.Accept, 1)
       assert.equal(spans(Hop.Accept)[0]?.attributes.verdict, 'not-run')
       assert.equal(spans(Hop.Target)[0]?.attributes.verdict, 'not-run')
     } finally {
--- a/packages/daemon/src/node/tracing/createTracing.ts
+++ b/packages/daemon/src/node/tracing/createTracing.ts
@@ -17,7 +17,7 @@
 } from '@opentelemetry/sdk-trace-base'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 
-/** The hops of a request's path. */
+/** Stages of a request; the values are span names. */
 export enum Hop {
   Accept = 'accept',
   Queue = 'queue',
@@ -28,24 +28,27 @@
   Resume = 'resume',
 }
 
-/** What a span says of a request. */
+/** Attributes of a span. */
 export type SpanAttributes = Record<string, string | number | boolean>
 
-/** A span that is under way. */
+/** A span that has not ended. */
 export interface HopSpan {
+  /** Context with this span, the parent of further spans. */
   readonly context: Context
   setAttributes(fields: SpanAttributes): void
   /** Ends the span; a message marks it as failed. */
   end(failure?: string): void
 }
 
-/** Creates the spans of a request's path. */
+/** Creates spans and propagates trace contexts. */
 export interface Tracing {
   /** Reads the caller's trace context from request headers. */
   extract(headers: Record<string, unknown>): Context
-  /** Returns the headers that carry a trace context on. */
+  /** Returns the headers that propagate a trace context. */
   inject(parent: Context): Record<string, string>
+  /** Starts a span as a child of `parent`. */
   startSpan(hop: Hop, parent: Context, fields?: SpanAttributes): HopSpan
+  /** Exports the ended spans and shuts down. */
   close(): Promise<void>
 }
 
@@ -63,12 +66,15 @@
   }
 }
 
-/** Creates tracing that exports over OTLP, or only passes the context on. */
+/**
+ * Creates tracing that exports over OTLP, or only propagates contexts when no
+ * endpoint is set.
+ */
 export function createTracing(
   settings: ResolvedSettings,
   extraProcessors: SpanProcessor[] = [],
 ): Tracing {
-  const exporting = settings.traces
+  const exporters = settings.traces
     ? [new BatchSpanProcessor(new OTLPTraceExporter(settings.traces))]
     : []
   const provider = new BasicTracerProvider({
@@ -76,7 +82,7 @@
       'service.name': 'auburnbay',
       'service.instance.id': settings.router.id,
     }),
-    spanProcessors: [...exporting, ...extraProcessors],
+    spanProcessors: [...exporters, ...extraProcessors],
   })
   const tracer = provider.getTracer('auburnbay')
   const propagator = new W3CTraceContextPropagator()
