--- a/packages/cli/src/node/__tests__/cli.test.ts
+++ b/packages/cli/src/node/__tests__/cli.test.ts
@@ -16,7 +16,7 @@
 
   before(async () => {
     router = await startRouter()
-    const start = [
+    const initialOperations = [
       { op: 'add', path: '/services/briefing', value: { kind: 'model' } },
       { op: 'add', path: '/teams/ice', value: {} },
       { op: 'add', path: '/customers/corrib', value: { team: 'ice' } },
@@ -30,8 +30,8 @@
         },
       },
     ]
-    const done = await patch(start, ['--base', '0'])
-    assert.equal(done.code, ExitCode.Done, done.stderr)
+    const submitted = await patch(initialOperations, ['--base', '0'])
+    assert.equal(submitted.code, ExitCode.Done, submitted.stderr)
   })
 
   after(() => router.stop())
@@ -47,19 +47,22 @@
     return runCli(['config', 'patch', ...args, '-'], router.env, input)
   }
 
-  const rank = (value: number) => [
+  const setRank = (value: number) => [
     { op: 'replace', path: '/defaultRank', value },
   ]
 
-  it('shows a lost race and rebases only where no paths clash', async () => {
+  it('reports a conflict and rebases only when no paths clash', async () => {
     const before = await cli(['config', 'get', '--json'])
     const { version } = JSON.parse(before.stdout) as { version: number }
     const base = ['--base', String(version)]
-    assert.equal((await patch(rank(3), base)).code, ExitCode.Done)
-    const lost = await patch(rank(4), [...base, '--rebase'])
-    assert.equal(lost.code, ExitCode.Conflict)
-    assert.match(lost.stderr, new RegExp(`Version ${version + 1} is in force`))
-    assert.match(lost.stderr, /changed \/defaultRank as well/)
+    assert.equal((await patch(setRank(3), base)).code, ExitCode.Done)
+    const conflict = await patch(setRank(4), [...base, '--rebase'])
+    assert.equal(conflict.code, ExitCode.Conflict)
+    assert.match(
+      conflict.stderr,
+      new RegExp(`Version ${version + 1} is in force`),
+    )
+    assert.match(conflict.stderr, /changed \/defaultRank as well/)
     const rule = [{ op: 'add', path: '/rules/one', value: { rank: 1 } }]
     const offered = await patch(rule, base)
     assert.equal(offered.code, ExitCode.Conflict)
@@ -69,7 +72,7 @@
     assert.match(rebased.stdout, new RegExp(`version ${version + 2} is`))
   })
 
-  it('prints a new key alone on stdout', async () => {
+  it('prints only the new key to stdout', async () => {
     const made = await cli(['keys', 'create', 'corrib', 'bridge'])
     assert.match(made.stdout, /^corrib\/bridge\/\S+\n$/)
     assert.match(made.stderr, /shown once/)
@@ -82,7 +85,7 @@
     assert.match(again.stderr, /has no key bridge/)
   })
 
-  it('works with an operator’s token within its role', async () => {
+  it('limits an operator’s token to its role', async () => {
     const args = ['operators', 'create', 'anna', '--team', 'ice']
     const made = await cli([...args, '--role', 'viewer'])
     const token = made.stdout.trim()
@@ -115,7 +118,7 @@
     }
   })
 
-  it('drains a target and takes it back in', async () => {
+  it('drains a target and puts it back into service', async () => {
     const drained = await cli(['drain', 'engine-1'])
     assert.match(drained.stdout, /^Draining engine-1; version \d+ is in force/)
     const undone = await cli(['drain', '--undo', 'engine-1'])
@@ -130,19 +133,19 @@
     assert.match(failed.stdout, /"not-found"/)
   })
 
-  it('says what a patch would do', async () => {
+  it('validates a patch', async () => {
     const validate = (operations: unknown): Promise<CliRun> => {
       const input = JSON.stringify(operations)
       return runCli(['config', 'validate', '-'], router.env, input)
     }
-    assert.equal((await validate(rank(5))).code, ExitCode.Done)
-    const wrong = await validate(rank(50))
+    assert.equal((await validate(setRank(5))).code, ExitCode.Done)
+    const wrong = await validate(setRank(50))
     assert.equal(wrong.code, ExitCode.Failed)
     assert.match(wrong.stdout, /refused \(invalid\): \/defaultRank/)
   })
 
   describe('exit codes', { concurrency: 4 }, () => {
-    it('names a wrong command line', async () => {
+    it('reports an invalid command line', async () => {
       const run = await cli(['config', 'patch'])
       assert.equal(run.code, ExitCode.Usage)
       assert.match(run.stderr, /FILE/)
@@ -151,20 +154,20 @@
       assert.match(file.stderr, /name a readable JSON file/)
     })
 
-    it('names a wrong token without showing it', async () => {
+    it('reports an invalid token without printing it', async () => {
       const run = await cli(['config', 'get'], 'a-wrong-token')
       assert.equal(run.code, ExitCode.Forbidden)
       assert.doesNotMatch(run.stderr, /a-wrong-token/)
     })
 
-    it('names a router that does not answer', async () => {
+    it('reports a router that does not respond', async () => {
       const args = ['config', 'get', '--admin', 'http://127.0.0.1:1']
       const run = await cli(args)
       assert.equal(run.code, ExitCode.Unreachable)
       assert.match(run.stderr, /check --admin/)
     })
 
-    it('shows progress in a long wait and tells unknown from failed', async () => {
+    it('shows progress during a long wait and exits with Unknown', async () => {
       const server = createServer((_req, res) => {
         const error = { code: 'unknown', message: 'ask for patch p' }
         setTimeout(() => {
--- a/packages/cli/src/node/__tests__/runCli.ts
+++ b/packages/cli/src/node/__tests__/runCli.ts
@@ -3,7 +3,7 @@
 import { text } from 'node:stream/consumers'
 import { fileURLToPath } from 'node:url'
 
-/** What a run of the tool left behind. */
+/** Exit code and output of a run of the tool. */
 export interface CliRun {
   readonly code: number | null
   readonly stdout: string
@@ -12,7 +12,7 @@
 
 const bin = fileURLToPath(new URL('../bin.js', import.meta.url))
 
-/** Runs the tool as a process. */
+/** Runs the tool as a child process. */
 export async function runCli(
   args: readonly string[],
   env: Record<string, string>,
--- a/packages/cli/src/node/__tests__/startRouter.ts
+++ b/packages/cli/src/node/__tests__/startRouter.ts
@@ -6,9 +6,9 @@
   createRouterSettings,
 } from '@auburnbay/stand-ins'
 
-/** A router with the platform it needs. */
+/** A router with its log service and VM list. */
 export interface TestRouter {
-  /** Environment that makes the tool talk to the router. */
+  /** Environment variables that point the tool at the router. */
   readonly env: { AUBURNBAY_ADMIN: string; AUBURNBAY_TOKEN: string }
   stop(): Promise<void>
 }
--- a/packages/cli/src/node/adminClient.ts
+++ b/packages/cli/src/node/adminClient.ts
@@ -5,7 +5,7 @@
 } from '@auburnbay/http-utils'
 import type { Result } from 'neverthrow'
 
-/** One call of the administration API. */
+/** A request to the administration API. */
 export interface AdminRequest {
   /** @default "GET" */
   readonly method?: 'DELETE' | 'GET' | 'POST' | 'PUT'
@@ -13,12 +13,12 @@
   readonly body?: unknown
 }
 
-/** Calls the administration API of one router. */
+/** Client of the administration API of one router. */
 export interface AdminClient {
   call(req: AdminRequest): Promise<Result<JsonResponse, RequestError>>
 }
 
-const TIMEOUT_MS = 30_000
+const REQUEST_TIMEOUT_MS = 30_000
 
 /** Creates a client for the router at `baseUrl`. */
 export function createAdminClient(baseUrl: string, token: string): AdminClient {
@@ -28,7 +28,7 @@
         method,
         url: `${baseUrl.replace(/\/$/, '')}${path}`,
         body,
-        timeoutMs: TIMEOUT_MS,
+        timeoutMs: REQUEST_TIMEOUT_MS,
         headers: { authorization: `Bearer ${token}` },
       }),
   }
--- a/packages/cli/src/node/commands/config/diffCommand.ts
+++ b/packages/cli/src/node/commands/config/diffCommand.ts
@@ -19,12 +19,12 @@
     to: option({
       long: 'to',
       type: optional(number),
-      description: 'newer version; the one in force by default',
+      description: 'newer version; the current one by default',
     }),
   },
   handler: ({ from, to, ...connection }) => {
-    const end = to === undefined ? '' : `&to=${to}`
-    const path = `/config/diff?from=${from}${end}`
+    const toParam = to === undefined ? '' : `&to=${to}`
+    const path = `/config/diff?from=${from}${toParam}`
     return runRequest(connection, { path }, (body) => {
       const { changes } = body as { changes: readonly unknown[] }
       return createTableFormatter(historyColumns)(changes.map(toHistoryRow))
--- a/packages/cli/src/node/commands/config/getCommand.ts
+++ b/packages/cli/src/node/commands/config/getCommand.ts
@@ -2,13 +2,13 @@
 import { connectionArgs } from '../connectionArgs.js'
 import { runRequest } from '../runRequest.js'
 
-/** Shows the version in force. */
+/** Shows the current configuration. */
 export const getCommand = command({
   name: 'get',
-  description: 'Show the configuration in force, without salts and hashes.',
+  description: 'Show the current configuration, without salts and hashes.',
   examples: [
     {
-      description: 'the targets of the version in force',
+      description: 'the targets of the current version',
       command: "auburnbay config get | jq '.configuration.targets'",
     },
   ],
--- a/packages/cli/src/node/commands/config/historyCommand.ts
+++ b/packages/cli/src/node/commands/config/historyCommand.ts
@@ -5,22 +5,22 @@
 
 const DEFAULT_LIMIT = 20
 
-interface Entry {
+interface HistoryEntry {
   readonly version: number
   readonly author: string
   readonly atMs: number
   readonly operations: readonly { op: string; path: string }[]
 }
 
-/** Turns a change into a row: when, who and which paths. */
+/** Converts a history entry into a table row. */
 export function toHistoryRow(value: unknown): Row {
-  const { version, author, atMs, operations } = value as Entry
+  const { version, author, atMs, operations } = value as HistoryEntry
   const changes = operations.map(({ op, path }) => `${op} ${path}`)
   const at = new Date(atMs).toISOString()
   return { version, author, at, changes: changes.join('\n') }
 }
 
-/** Columns of a list of changes. */
+/** Columns of a table of history entries. */
 export const historyColumns = [
   { title: 'VERSION', field: 'version', right: true },
   { title: 'AT', field: 'at' },
@@ -28,7 +28,7 @@
   { title: 'CHANGES', field: 'changes' },
 ]
 
-/** Shows who changed what. */
+/** Shows the newest changes. */
 export const historyCommand = command({
   name: 'history',
   description: 'Show the newest changes with their authors.',
@@ -38,7 +38,7 @@
       long: 'limit',
       type: number,
       defaultValue: () => DEFAULT_LIMIT,
-      description: 'changes shown at most',
+      description: 'most changes to show',
     }),
   },
   handler: (args) =>
--- a/packages/cli/src/node/commands/config/patchCommand.ts
+++ b/packages/cli/src/node/commands/config/patchCommand.ts
@@ -27,11 +27,11 @@
       command: 'auburnbay config patch --base 41 change.json',
     },
     {
-      description: 'again on newer versions while no paths clash',
+      description: 'rebase onto newer versions while no paths clash',
       command: 'auburnbay config patch --base 41 --rebase change.json',
     },
     {
-      description: 'ask again after exit code 5, counted once',
+      description: 'retry after exit code 5; the patch is applied at most once',
       command: 'auburnbay config patch --base 41 --patch-id ID change.json',
     },
   ],
@@ -40,22 +40,23 @@
     base: option({
       long: 'base',
       type: optional(number),
-      description: 'version of the patch; the one in force by default',
+      description:
+        'version that the patch is based on; the current one by default',
     }),
     author: option({
       long: 'author',
       type: optional(string),
-      description: 'your name, with the administration secret',
+      description: 'your name, required with the administration secret',
     }),
     patchId: option({
       long: 'patch-id',
       type: optional(string),
-      description: 'id for asking again; a new one by default',
+      description: 'id of the patch, for a retry; a new one by default',
     }),
     rebase: flag({
       long: 'rebase',
       type: boolean,
-      description: 'submit again after a lost race when no paths clash',
+      description: 'submit again after a conflict when no paths clash',
     }),
     file: positional({
       type: string,
@@ -72,9 +73,9 @@
     }
     const client = createAdminClient(admin, token)
     const patch = { ...args, operations: operations.value }
-    const reply = await submitPatch(client, patch)
+    const result = await submitPatch(client, patch)
     process.exitCode = printResponse(
-      reply,
+      result,
       json,
       createVersionFormatter('Accepted'),
     )
--- a/packages/cli/src/node/commands/config/statusCommand.ts
+++ b/packages/cli/src/node/commands/config/statusCommand.ts
@@ -21,16 +21,16 @@
     ],
     status.routers,
   )
-  const spread = status.everywhere
-    ? `Version ${status.newest} is in force on every router heard of.`
-    : `Version ${status.newest} is not in force everywhere yet; ask again.`
-  const log = status.connected
+  const versionLine = status.everywhere
+    ? `Version ${status.newest} is in force on every known router.`
+    : `Version ${status.newest} is not in force on every router yet; check again later.`
+  const logLine = status.connected
     ? ''
-    : '\nThe router asked has no answer from the log.'
-  return `${table}\n${spread}${log}`
+    : '\nThe queried router does not reach the log service.'
+  return `${table}\n${versionLine}${logLine}`
 }
 
-/** Shows the version of each router. */
+/** Shows the configuration version of each router. */
 export const statusCommand = command({
   name: 'status',
   description: 'Show which version is in force on each router.',
--- a/packages/cli/src/node/commands/config/submitPatch.ts
+++ b/packages/cli/src/node/commands/config/submitPatch.ts
@@ -8,11 +8,11 @@
 /** A patch as given on the command line. */
 export interface PatchArgs {
   readonly operations: unknown
-  /** Version in force when absent. */
+  /** Version that the patch is based on; the current one when absent. */
   readonly base?: number
   readonly author?: string
   readonly patchId?: string
-  /** Submit again after a lost race when no paths clash. */
+  /** Submits the patch again after a conflict when no paths clash. */
   readonly rebase: boolean
 }
 
@@ -23,8 +23,8 @@
 
 const MAX_REBASES = 5
 
-function parseConflict(reply: JsonResponse): ConflictBody | undefined {
-  return reply.status === 409 ? (reply.body as ConflictBody) : undefined
+function parseConflict(res: JsonResponse): ConflictBody | undefined {
+  return res.status === 409 ? (res.body as ConflictBody) : undefined
 }
 
 function printConflict({ version, rebase }: ConflictBody): void {
@@ -35,11 +35,14 @@
     )
   else if (rebase?.clashes.length)
     messages.info(
-      `It changed ${rebase.clashes.join(', ')} as well; look with auburnbay config diff before you try again.`,
+      `It changed ${rebase.clashes.join(', ')} as well; run auburnbay config diff before you try again.`,
     )
 }
 
-/** Submits a patch, again on newer versions where that was asked for. */
+/**
+ * Submits a patch; with `rebase`, submits it again on newer versions after
+ * conflicts.
+ */
 export async function submitPatch(
   client: AdminClient,
   args: PatchArgs,
@@ -51,7 +54,7 @@
     baseVersion = (current.value.body as { version: number }).version
   }
   for (let rebases = 0; ; rebases += 1) {
-    // A patch that was refused keeps its id on the log; a rebase needs another.
+    // The id of a rejected patch stays on the log, so a rebase needs a new one.
     const patchId =
       rebases === 0 ? (args.patchId ?? randomUUID()) : randomUUID()
     messages.info(`Submitting patch ${patchId} against version ${baseVersion}.`)
@@ -59,15 +62,15 @@
     const body = { patchId, baseVersion, author, operations }
     const path = '/config/patches'
     const call = client.call({ method: 'POST', path, body })
-    const reply = await withProgress('the log to confirm the patch', call)
-    if (reply.isErr()) return reply
-    const conflict = parseConflict(reply.value)
-    if (!conflict) return ok(reply.value)
-    const again =
+    const result = await withProgress('the log to confirm the patch', call)
+    if (result.isErr()) return result
+    const conflict = parseConflict(result.value)
+    if (!conflict) return ok(result.value)
+    const canRebase =
       args.rebase && conflict.rebase?.possible && rebases < MAX_REBASES
-    if (!again) {
+    if (!canRebase) {
       printConflict(conflict)
-      return reply
+      return result
     }
     messages.info(`No paths clash with version ${conflict.version}; rebasing.`)
     baseVersion = conflict.version
--- a/packages/cli/src/node/commands/config/validateCommand.ts
+++ b/packages/cli/src/node/commands/config/validateCommand.ts
@@ -6,24 +6,25 @@
 import { connectionArgs } from '../connectionArgs.js'
 import { readJsonFile } from '../readJsonFile.js'
 
-interface Outcome {
+interface ValidationOutcome {
   readonly kind: string
   readonly reason?: string
   readonly version: number
 }
 
-const APPLIES = new Set(['applied', 'duplicate'])
+const ACCEPTED_KINDS = new Set(['applied', 'duplicate'])
 
 function format(body: unknown): string {
-  const { kind, reason, version } = body as Outcome
-  if (APPLIES.has(kind)) return `The patch would lead to version ${version}.`
+  const { kind, reason, version } = body as ValidationOutcome
+  if (ACCEPTED_KINDS.has(kind))
+    return `The patch would lead to version ${version}.`
   return `The patch would be refused (${kind}): ${reason ?? ''}.`
 }
 
-/** Tries a patch out. */
+/** Validates a patch without submitting it. */
 export const validateCommand = command({
   name: 'validate',
-  description: 'Say what a patch would do now, without submitting it.',
+  description: 'Show what a patch would do now, without submitting it.',
   examples: [
     {
       description: 'in a script: stop unless the patch would apply',
@@ -35,7 +36,8 @@
     base: option({
       long: 'base',
       type: optional(number),
-      description: 'version of the patch; the one in force by default',
+      description:
+        'version that the patch is based on; the current one by default',
     }),
     file: positional({ type: string, displayName: 'FILE' }),
   },
@@ -46,16 +48,16 @@
       process.exitCode = ExitCode.Usage
       return
     }
-    const reply = await createAdminClient(admin, token).call({
+    const result = await createAdminClient(admin, token).call({
       method: 'POST',
       path: '/config/validate',
       body: { baseVersion: base, operations: operations.value },
     })
-    const exitCode = printResponse(reply, json, format)
+    const exitCode = printResponse(result, json, format)
     const refused =
       exitCode === ExitCode.Done &&
-      reply.isOk() &&
-      !APPLIES.has((reply.value.body as Outcome).kind)
+      result.isOk() &&
+      !ACCEPTED_KINDS.has((result.value.body as ValidationOutcome).kind)
     process.exitCode = refused ? ExitCode.Failed : exitCode
   },
 })
--- a/packages/cli/src/node/commands/connectionArgs.ts
+++ b/packages/cli/src/node/commands/connectionArgs.ts
@@ -1,13 +1,13 @@
 import { boolean, flag, option, string } from 'cmd-ts'
 
-/** The router to ask, the operator who asks and the form of the answer. */
+/** Administration URL, operator token and output format. */
 export interface Connection {
   readonly admin: string
   readonly token: string
   readonly json: boolean
 }
 
-/** Options that every command takes. */
+/** Arguments that all commands share. */
 export const connectionArgs = {
   admin: option({
     long: 'admin',
@@ -19,11 +19,12 @@
     long: 'token',
     env: 'AUBURNBAY_TOKEN',
     type: string,
-    description: 'operator token; prefer the variable, as others see arguments',
+    description:
+      'operator token; prefer the variable, as other users can see arguments',
   }),
   json: flag({
     long: 'json',
     type: boolean,
-    description: 'print the answer as JSON',
+    description: 'print the response as JSON',
   }),
 }
--- a/packages/cli/src/node/commands/entries/createEntryCommands.ts
+++ b/packages/cli/src/node/commands/entries/createEntryCommands.ts
@@ -11,18 +11,20 @@
   runRequest,
 } from '../runRequest.js'
 
-/** What a group of entry commands is about. */
+/** Options for {@link createEntryCommands}. */
 export interface EntryCommandsOptions {
-  /** Path of the section, `customers`. */
+  /** Name of the section, such as `customers`. */
   readonly section: string
-  /** What one entry is called, `customer`. */
+  /** Name of one entry, such as `customer`. */
   readonly noun: string
   readonly columns: readonly Column[]
 }
 
 const id = positional({ type: string, displayName: 'ID' })
 
-/** Creates the commands that list, show, set and remove entries of a section. */
+/**
+ * Creates the commands that list, show, set and remove entries of a section.
+ */
 export function createEntryCommands(options: EntryCommandsOptions) {
   const { section, noun, columns } = options
 
@@ -48,7 +50,7 @@
     description: `Create or replace a ${noun}; keys and tokens stay.`,
     examples: [
       {
-        description: 'from standard input',
+        description: 'read from standard input',
         command: `auburnbay ${section} set ID - < ${noun}.json`,
       },
     ],
@@ -87,7 +89,7 @@
   return { list, show, set, remove }
 }
 
-/** Creates a group with just the entry commands. */
+/** Creates a command group that consists of the entry commands. */
 export function createEntryGroup(options: EntryCommandsOptions) {
   return subcommands({
     name: options.section,
--- a/packages/cli/src/node/commands/entries/entryGroups.ts
+++ b/packages/cli/src/node/commands/entries/entryGroups.ts
@@ -3,7 +3,7 @@
 import { rotateOperatorCommand } from '../secrets/rotateOperatorCommand.js'
 import { createEntryCommands, createEntryGroup } from './createEntryCommands.js'
 
-/** Commands on customers. */
+/** Commands that manage customers. */
 export const customerCommands = createEntryGroup({
   section: 'customers',
   noun: 'customer',
@@ -15,7 +15,7 @@
   ],
 })
 
-/** Commands on services. */
+/** Commands that manage services. */
 export const serviceCommands = createEntryGroup({
   section: 'services',
   noun: 'service',
@@ -26,7 +26,7 @@
   ],
 })
 
-/** Commands on rules. */
+/** Commands that manage rules. */
 export const ruleCommands = createEntryGroup({
   section: 'rules',
   noun: 'rule',
@@ -38,7 +38,7 @@
   ],
 })
 
-/** Commands on teams. */
+/** Commands that manage teams. */
 export const teamCommands = createEntryGroup({
   section: 'teams',
   noun: 'team',
@@ -54,7 +54,7 @@
   ],
 })
 
-/** Commands on operators; their tokens come from the router. */
+/** Commands that manage operators; the router creates their tokens. */
 export const operatorCommands = subcommands({
   name: 'operators',
   description: 'List and change operators and their tokens.',
--- a/packages/cli/src/node/commands/fleet/chatCommands.ts
+++ b/packages/cli/src/node/commands/fleet/chatCommands.ts
@@ -11,7 +11,7 @@
 
 const where = command({
   name: 'where',
-  description: 'Show the target that the chat’s next request would go to.',
+  description: 'Show the target that would receive the chat’s next request.',
   examples: [
     {
       description: 'for one service',
@@ -30,7 +30,7 @@
       long: 'customer',
       type: string,
       defaultValue: () => '',
-      description: 'customer that asks',
+      description: 'customer that sends the request',
     }),
   },
   handler: ({ chat, service, customer, ...connection }) => {
@@ -50,9 +50,9 @@
   },
 })
 
-/** Commands on chats. */
+/** Commands that locate chats. */
 export const chatCommands = subcommands({
   name: 'chats',
-  description: 'Find chats.',
+  description: 'Locate chats.',
   cmds: { where },
 })
--- a/packages/cli/src/node/commands/fleet/explainCommand.ts
+++ b/packages/cli/src/node/commands/fleet/explainCommand.ts
@@ -14,8 +14,11 @@
 }
 
 function format(body: unknown): string {
-  const why = body as Explanation
-  const hinted = why.hintedTarget === undefined ? '' : `, ${why.hintedTarget}`
+  const explanation = body as Explanation
+  const hinted =
+    explanation.hintedTarget === undefined
+      ? ''
+      : `, ${explanation.hintedTarget}`
   const table = formatTable(
     [
       { title: 'CANDIDATE', field: 'id' },
@@ -23,26 +26,26 @@
       { title: 'BOUND', field: 'bound', right: true },
       { title: 'ELIGIBLE', field: 'eligible' },
     ],
-    why.candidates,
+    explanation.candidates,
   )
   return [
-    `As ${why.router} sees it:`,
-    `rank    ${why.rank}`,
-    `hint    ${why.hintSource}${hinted}`,
-    `home    ${why.home ?? '-'}`,
-    `chosen  ${why.chosen ?? 'none: no candidate can take the request'}`,
+    `As ${explanation.router} sees it:`,
+    `rank    ${explanation.rank}`,
+    `hint    ${explanation.hintSource}${hinted}`,
+    `home    ${explanation.home ?? '-'}`,
+    `chosen  ${explanation.chosen ?? 'none: no candidate can take the request'}`,
     '',
     table,
   ].join('\n')
 }
 
-const text = (long: string, description: string) =>
+const textOption = (long: string, description: string) =>
   option({ long, type: string, defaultValue: () => '', description })
 
-/** Shows why a request would go where it would go. */
+/** Explains the target selection for a request. */
 export const explainCommand = command({
   name: 'explain',
-  description: 'Show why a request would go where it would go.',
+  description: 'Explain which target a request would go to and why.',
   examples: [
     {
       description: 'a returning chat of one customer',
@@ -53,9 +56,12 @@
   args: {
     ...connectionArgs,
     service: option({ long: 'service', type: string }),
-    customer: text('customer', 'customer that asks'),
-    chat: text('chat', 'chat of the request'),
-    kind: text('kind', 'kind of the request, which rules rank'),
+    customer: textOption('customer', 'customer that sends the request'),
+    chat: textOption('chat', 'chat of the request'),
+    kind: textOption(
+      'kind',
+      'kind of the request, which rules match to set its rank',
+    ),
   },
   handler: ({ service, customer, chat, kind, ...connection }) => {
     const query = new URLSearchParams({ service, customer, chat, kind })
--- a/packages/cli/src/node/commands/fleet/routersCommand.ts
+++ b/packages/cli/src/node/commands/fleet/routersCommand.ts
@@ -2,10 +2,10 @@
 import { connectionArgs } from '../connectionArgs.js'
 import { createTableFormatter, runRequest } from '../runRequest.js'
 
-/** Shows the routers that the router asked has heard of. */
+/** Shows the routers that the queried router knows. */
 export const routersCommand = command({
   name: 'routers',
-  description: 'Show the routers that the one asked has heard of.',
+  description: 'Show the routers that the queried router knows.',
   args: connectionArgs,
   handler: (args) =>
     runRequest(
--- a/packages/cli/src/node/commands/fleet/targetCommands.ts
+++ b/packages/cli/src/node/commands/fleet/targetCommands.ts
@@ -3,7 +3,7 @@
 import { createEntryCommands } from '../entries/createEntryCommands.js'
 import { createTableFormatter, runRequest } from '../runRequest.js'
 
-/** Columns of a list of targets with loads. */
+/** Columns of a table of targets with their loads. */
 export const targetColumns = [
   { title: 'TARGET', field: 'id' },
   { title: 'SERVICE', field: 'service' },
@@ -28,7 +28,7 @@
   columns: [],
 })
 
-/** Commands on targets. */
+/** Commands that manage targets. */
 export const targetCommands = subcommands({
   name: 'targets',
   description: 'List and change targets.',
--- a/packages/cli/src/node/commands/fleet/topCommand.ts
+++ b/packages/cli/src/node/commands/fleet/topCommand.ts
@@ -6,7 +6,8 @@
 import { formatTable, type Row } from '../../output/table.js'
 import { connectionArgs } from '../connectionArgs.js'
 
-const DEFAULT_EVERY_MS = 1_000
+const DEFAULT_INTERVAL_MS = 1_000
+/** Width of a load bar, in characters. */
 const BAR_WIDTH = 20
 const CLEAR_SCREEN = '\u001b[2J\u001b[H'
 
@@ -18,7 +19,7 @@
   readonly draining: boolean
 }
 
-/** Draws a load against its bound, `#####.....`. */
+/** Draws a load relative to its bound as a bar, `#####.....`. */
 export function formatLoadBar(load: number, bound: number): string {
   const share = bound > 0 ? Math.min(1, load / bound) : 0
   const filled = Math.round(share * BAR_WIDTH)
@@ -47,12 +48,12 @@
   )
 }
 
-/** Shows the loads of all targets again and again. */
+/** Shows the loads of all targets, refreshed at intervals. */
 export const topCommand = command({
   name: 'top',
   description: 'Show the load of each target against its bound, live.',
   examples: [
-    { description: 'until Ctrl-C', command: 'auburnbay top' },
+    { description: 'refresh until Ctrl-C', command: 'auburnbay top' },
     { description: 'once, for a script', command: 'auburnbay top --count 1' },
   ],
   args: {
@@ -60,24 +61,24 @@
     everyMs: option({
       long: 'every-ms',
       type: number,
-      defaultValue: () => DEFAULT_EVERY_MS,
-      description: 'milliseconds between two looks',
+      defaultValue: () => DEFAULT_INTERVAL_MS,
+      description: 'milliseconds between two refreshes',
     }),
     count: option({
       long: 'count',
       type: optional(number),
-      description: 'looks; without end by default',
+      description: 'number of refreshes; unlimited by default',
     }),
   },
   handler: async ({ admin, token, json, everyMs, count = Infinity }) => {
     const client = createAdminClient(admin, token)
-    for (let look = 1; look <= count; look += 1) {
-      const reply = await client.call({ path: '/targets' })
+    for (let refresh = 1; refresh <= count; refresh += 1) {
+      const result = await client.call({ path: '/targets' })
       if (process.stdout.isTTY && !json) process.stdout.write(CLEAR_SCREEN)
-      const exitCode = printResponse(reply, json, format)
+      const exitCode = printResponse(result, json, format)
       process.exitCode = exitCode
       if (exitCode !== ExitCode.Done) return
-      if (look < count) await sleep(everyMs)
+      if (refresh < count) await sleep(everyMs)
     }
   },
 })
--- a/packages/cli/src/node/commands/readJsonFile.ts
+++ b/packages/cli/src/node/commands/readJsonFile.ts
@@ -1,7 +1,10 @@
 import { readFileSync } from 'node:fs'
 import { err, ok, type Result } from 'neverthrow'
 
-/** Reads a JSON file, or standard input for `-`; the error says what to do. */
+/**
+ * Reads a JSON file, or standard input for `-`; the error tells how to correct
+ * the argument.
+ */
 export function readJsonFile(path: string): Result<unknown, string> {
   const name = path === '-' ? 'standard input' : path
   try {
--- a/packages/cli/src/node/commands/runRequest.ts
+++ b/packages/cli/src/node/commands/runRequest.ts
@@ -4,18 +4,20 @@
 import { withProgress } from '../output/withProgress.js'
 import type { Connection } from './connectionArgs.js'
 
-/** Calls the router, prints the answer and sets the exit code. */
+/**
+ * Sends a request to the router, prints the response and sets the exit code.
+ */
 export async function runRequest(
   connection: Connection,
   req: AdminRequest,
   format?: BodyFormatter,
 ): Promise<void> {
   const client = createAdminClient(connection.admin, connection.token)
-  const reply = await withProgress('the router', client.call(req))
-  process.exitCode = printResponse(reply, connection.json, format)
+  const result = await withProgress('the router', client.call(req))
+  process.exitCode = printResponse(result, connection.json, format)
 }
 
-/** Shows a list as a table. */
+/** Creates a formatter that shows a list of records as a table. */
 export function createTableFormatter(
   columns: readonly Column[],
 ): BodyFormatter {
@@ -25,7 +27,9 @@
   }
 }
 
-/** Shows a map of entries as a table with their ids. */
+/**
+ * Creates a formatter that shows a map of entries as a table with their ids.
+ */
 export function createEntryTableFormatter(
   columns: readonly Column[],
 ): BodyFormatter {
@@ -38,15 +42,15 @@
   }
 }
 
-/** Says which version a change led to. */
-export function createVersionFormatter(what: string): BodyFormatter {
+/** Creates a formatter that shows the version that a change led to. */
+export function createVersionFormatter(change: string): BodyFormatter {
   return (body) => {
     const { version } = body as { version: number }
-    return `${what}; version ${version} is in force.`
+    return `${change}; version ${version} is in force.`
   }
 }
 
-/** Makes a path of parts that may hold any character. */
-export function buildPath(...parts: string[]): string {
-  return parts.map((part) => `/${encodeURIComponent(part)}`).join('')
+/** Joins path segments, percent-encoding each. */
+export function buildPath(...segments: string[]): string {
+  return segments.map((segment) => `/${encodeURIComponent(segment)}`).join('')
 }
--- a/packages/cli/src/node/commands/secrets/createOperatorCommand.ts
+++ b/packages/cli/src/node/commands/secrets/createOperatorCommand.ts
@@ -18,7 +18,7 @@
   description: 'Create an operator and show its token once.',
   examples: [
     {
-      description: 'an operator of team ice who may change its entries',
+      description: 'an operator who may change the entries of team ice',
       command: 'auburnbay operators create anna --team ice --role editor',
     },
   ],
@@ -30,7 +30,7 @@
     expiresInS: option({
       long: 'expires-in-s',
       type: optional(number),
-      description: 'seconds that the token works; 90 days by default',
+      description: 'seconds until the token expires; 90 days by default',
     }),
   },
   handler: ({ id, team, role, expiresInS, ...connection }) =>
--- a/packages/cli/src/node/commands/secrets/createSecretFormatter.ts
+++ b/packages/cli/src/node/commands/secrets/createSecretFormatter.ts
@@ -1,13 +1,16 @@
 import type { BodyFormatter } from '../../output/printResponse.js'
 import { messages } from '../../output/messages.js'
 
-/** Prints a new secret alone on stdout and the rest on stderr. */
+/**
+ * Creates a formatter that prints only the new secret to stdout and a message
+ * to stderr.
+ */
 export function createSecretFormatter(field: 'key' | 'token'): BodyFormatter {
   return (body) => {
-    const reply = body as Record<string, unknown>
+    const response = body as Record<string, unknown>
     messages.info(
-      `Version ${String(reply.version)} is in force. This ${field} is shown once; keep it now.`,
+      `Version ${String(response.version)} is in force. This ${field} is shown once; keep it now.`,
     )
-    return String(reply[field])
+    return String(response[field])
   }
 }
--- a/packages/cli/src/node/commands/secrets/keyCommands.ts
+++ b/packages/cli/src/node/commands/secrets/keyCommands.ts
@@ -13,7 +13,7 @@
 
 const MS_PER_S = 1_000
 
-const names = {
+const keyArgs = {
   customer: positional({ type: string, displayName: 'CUSTOMER' }),
   keyId: positional({ type: string, displayName: 'KEY-ID' }),
 }
@@ -23,17 +23,17 @@
   description: 'Create a caller key and show it once.',
   examples: [
     {
-      description: 'a key for the bridge that lasts 30 days',
+      description: 'a key for the bridge that expires after 30 days',
       command: 'auburnbay keys create corrib bridge --expires-in-s 2592000',
     },
   ],
   args: {
     ...connectionArgs,
-    ...names,
+    ...keyArgs,
     expiresInS: option({
       long: 'expires-in-s',
       type: optional(number),
-      description: 'seconds that the key works; without end by default',
+      description: 'seconds until the key expires; never by default',
     }),
   },
   handler: ({ customer, keyId, expiresInS, ...connection }) => {
@@ -49,7 +49,7 @@
 
 const rotate = command({
   name: 'rotate',
-  description: 'Create the next key; the old one goes on for a while.',
+  description: 'Create the next key; the old one stays valid for a while.',
   examples: [
     {
       description: 'both keys work for an hour',
@@ -58,11 +58,11 @@
   ],
   args: {
     ...connectionArgs,
-    ...names,
+    ...keyArgs,
     overlapS: option({
       long: 'overlap-s',
       type: optional(number),
-      description: 'seconds that the old key goes on; a day by default',
+      description: 'seconds that the old key stays valid; a day by default',
     }),
   },
   handler: ({ customer, keyId, overlapS, ...connection }) => {
@@ -74,8 +74,8 @@
 
 const revoke = command({
   name: 'revoke',
-  description: 'End a caller key at once.',
-  args: { ...connectionArgs, ...names },
+  description: 'Revoke a caller key at once.',
+  args: { ...connectionArgs, ...keyArgs },
   handler: ({ customer, keyId, ...connection }) => {
     const path = buildPath('customers', customer, 'keys', keyId)
     const req = { method: 'DELETE' as const, path }
@@ -87,7 +87,7 @@
   },
 })
 
-/** Commands on callers' keys. */
+/** Commands that manage the keys of callers. */
 export const keyCommands = subcommands({
   name: 'keys',
   description: 'Create, rotate and revoke callers’ keys.',
--- a/packages/cli/src/node/commands/secrets/rotateOperatorCommand.ts
+++ b/packages/cli/src/node/commands/secrets/rotateOperatorCommand.ts
@@ -6,14 +6,14 @@
 /** Gives an operator a new token. */
 export const rotateOperatorCommand = command({
   name: 'rotate',
-  description: 'Give an operator a new token; the old one ends at once.',
+  description: 'Give an operator a new token; the old one is revoked at once.',
   args: {
     ...connectionArgs,
     id: positional({ type: string, displayName: 'ID' }),
     expiresInS: option({
       long: 'expires-in-s',
       type: optional(number),
-      description: 'seconds that the token works; 90 days by default',
+      description: 'seconds until the token expires; 90 days by default',
     }),
   },
   handler: ({ id, expiresInS, ...connection }) => {
--- a/packages/cli/src/node/createApp.ts
+++ b/packages/cli/src/node/createApp.ts
@@ -15,7 +15,7 @@
 import { topCommand } from './commands/fleet/topCommand.js'
 import { keyCommands } from './commands/secrets/keyCommands.js'
 
-/** Creates the command-line tool. */
+/** Creates the command-line application. */
 export function createApp() {
   return subcommands({
     name: 'auburnbay',
@@ -23,10 +23,10 @@
       'Administers an auburnbay router fleet. Set AUBURNBAY_ADMIN to a router’s administration URL and AUBURNBAY_TOKEN to your token. Exit codes: docs/cli.md.',
     examples: [
       {
-        description: 'what is in force where',
+        description: 'the version of each router',
         command: 'auburnbay config status',
       },
-      { description: 'loads against the bound', command: 'auburnbay top' },
+      { description: 'the load of each target', command: 'auburnbay top' },
     ],
     cmds: {
       config: configCommands,
--- a/packages/cli/src/node/exitCode.ts
+++ b/packages/cli/src/node/exitCode.ts
@@ -1,16 +1,19 @@
-/** Exit codes of the command-line tool; docs/cli.md says what to do at each. */
+/**
+ * Exit codes of the command-line tool; docs/cli.md describes how to handle
+ * each.
+ */
 export enum ExitCode {
-  /** The command did what it was asked. */
+  /** The command succeeded. */
   Done = 0,
-  /** The router refused or failed; the message says why. */
+  /** The router rejected the request or failed; the message states why. */
   Failed = 1,
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   Usage = 2,
-  /** Another change came into force first. */
+  /** Another change took effect first. */
   Conflict = 3,
-  /** No answer from the router. */
+  /** The router did not respond. */
   Unreachable = 4,
-  /** The change may come into force; ask for its patch id. */
+  /** The change may still take effect; look up its patch id. */
   Unknown = 5,
   /** The token is missing, wrong or expired, or its role is too low. */
   Forbidden = 6,
--- a/packages/cli/src/node/output/messages.ts
+++ b/packages/cli/src/node/output/messages.ts
@@ -1,6 +1,9 @@
 import { createConsola } from 'consola'
 
-/** Messages for people; they go to stderr, so that stdout holds results alone. */
+/**
+ * Logger of messages for people; writes to stderr, as stdout holds only
+ * results.
+ */
 export const messages = createConsola({
   fancy: false,
   stdout: process.stderr,
--- a/packages/cli/src/node/output/printResponse.ts
+++ b/packages/cli/src/node/output/printResponse.ts
@@ -3,14 +3,14 @@
 import { ExitCode } from '../exitCode.js'
 import { messages } from './messages.js'
 
-const EXIT_CODES: Readonly<Record<number, ExitCode>> = {
+const EXIT_CODES_BY_STATUS: Readonly<Record<number, ExitCode>> = {
   401: ExitCode.Forbidden,
   403: ExitCode.Forbidden,
   409: ExitCode.Conflict,
   504: ExitCode.Unknown,
 }
 
-/** Shows a successful answer to people. */
+/** Formats the body of a successful response for people. */
 export type BodyFormatter = (body: unknown) => string
 
 function errorMessage(body: unknown): string {
@@ -24,24 +24,24 @@
   return JSON.stringify(body, null, 2)
 }
 
-/** Prints an answer and returns the exit code that belongs to it. */
+/** Prints a response and returns its exit code. */
 export function printResponse(
-  reply: Result<JsonResponse, RequestError>,
+  result: Result<JsonResponse, RequestError>,
   json: boolean,
   format: BodyFormatter = formatJson,
 ): ExitCode {
-  if (reply.isErr()) {
+  if (result.isErr()) {
     messages.error(
-      `${reply.error.message}; check --admin and that the router runs.`,
+      `${result.error.message}; check --admin and that the router runs.`,
     )
     return ExitCode.Unreachable
   }
-  const { status, body } = reply.value
+  const { status, body } = result.value
   if (status < 300) {
     process.stdout.write(`${json ? formatJson(body) : format(body)}\n`)
     return ExitCode.Done
   }
   messages.error(`${errorMessage(body)}.`)
   if (json) process.stdout.write(`${formatJson(body)}\n`)
-  return EXIT_CODES[status] ?? ExitCode.Failed
+  return EXIT_CODES_BY_STATUS[status] ?? ExitCode.Failed
 }
--- a/packages/cli/src/node/output/table.ts
+++ b/packages/cli/src/node/output/table.ts
@@ -3,9 +3,9 @@
 /** One column of a table. */
 export interface Column {
   readonly title: string
-  /** Name of the field shown. */
+  /** Field of the row that the column shows. */
   readonly field: string
-  /** @default false */
+  /** Aligns the column to the right. @default false */
   readonly right?: boolean
 }
 
@@ -38,7 +38,7 @@
   return JSON.stringify(value)
 }
 
-/** Lays records out as a table without lines. */
+/** Formats rows as a table without borders. */
 export function formatTable(
   columns: readonly Column[],
   rows: readonly Row[],
