--- a/packages/daemon/src/node/configuration/createSnapshotWriter.ts
+++ b/packages/daemon/src/node/configuration/createSnapshotWriter.ts
@@ -44,6 +44,7 @@
   let schedule: SnapshotSchedule = {}
   let last: WrittenSnapshot | undefined
 
+  /** Updates the schedule; returns whether a snapshot is due. */
   function advanceSchedule(): boolean {
     const input: SnapshotScheduleInput = {
       version: store.state.version,
--- a/packages/daemon/src/node/settings/settingsSchema.ts
+++ b/packages/daemon/src/node/settings/settingsSchema.ts
@@ -85,7 +85,7 @@
       maxHeaderBytes: z.int().positive().default(16_384),
       /** Milliseconds within which a request's headers must arrive. @default 5000 */
       headersTimeoutMs: positiveMs.default(5_000),
-      /** Milliseconds within which a whole request must arrive. @default 30000 */
+      /** Milliseconds within which a request must arrive in full. @default 30000 */
       requestTimeoutMs: positiveMs.default(30_000),
       /**
        * Open connections from one address; behind a load balancer that is the
--- a/packages/daemon/src/node/targets/createCacheEventReader.ts
+++ b/packages/daemon/src/node/targets/createCacheEventReader.ts
@@ -38,7 +38,7 @@
 export function createCacheEventReader(
   options: CacheEventReaderOptions,
 ): CacheEventReader {
-  const { targets, intervalMs: everyMs, maxChats, keyOf } = options
+  const { targets, intervalMs, maxChats, keyOf } = options
   const { agent = new Agent({ keepAlive: true }) } = options
   const index = createHintIndex(maxChats)
 
@@ -59,7 +59,7 @@
       index.apply(target.id, parsed.data.events.map(withChatKey))
   }
 
-  const poller = createTargetPoller({ targets, intervalMs: everyMs, poll })
+  const poller = createTargetPoller({ targets, intervalMs, poll })
   return {
     targetOf: (key) => index.targetOf(key),
     stop: async () => {
--- a/packages/daemon/src/node/targets/createTargetPoller.ts
+++ b/packages/daemon/src/node/targets/createTargetPoller.ts
@@ -2,8 +2,8 @@
 import type { TargetAddress } from './targetClient.js'
 
 /**
- * Returns the targets to poll: those with requests and, if asked, the idle
- * ones.
+ * Returns the targets to poll: those with requests and, with `includeIdle`, the
+ * idle ones.
  */
 export type PolledTargets = (includeIdle: boolean) => readonly TargetAddress[]
 
@@ -21,7 +21,7 @@
 
 /** Starts polling targets; a round polls all of them concurrently. */
 export function createTargetPoller(options: TargetPollerOptions): Loop {
-  const { targets, intervalMs: everyMs, poll } = options
+  const { targets, intervalMs, poll } = options
   let rounds = 0
   return createLoop(
     async () => {
@@ -29,7 +29,7 @@
       const includeIdle = rounds % IDLE_TARGET_POLL_ROUNDS === 0
       await Promise.all(targets(includeIdle).map(poll))
     },
-    everyMs,
+    intervalMs,
     () => undefined,
   )
 }
--- a/packages/daemon/src/node/tasks/createMailbox.ts
+++ b/packages/daemon/src/node/tasks/createMailbox.ts
@@ -3,7 +3,7 @@
 /** Message queue of a task; messages are handled one at a time, in order. */
 export interface Mailbox<M> {
   send(message: M): void
-  /** Resolves when the queue is empty. */
+  /** Resolves when all messages sent so far are handled. */
   drained(): Promise<void>
 }
 
