--- a/packages/cli/src/node/__tests__/cli.test.ts
+++ b/packages/cli/src/node/__tests__/cli.test.ts
@@ -73,22 +73,22 @@
   })
 
   it('prints only the new key to stdout', async () => {
-    const made = await cli(['keys', 'create', 'corrib', 'bridge'])
-    assert.match(made.stdout, /^corrib\/bridge\/\S+\n$/)
-    assert.match(made.stderr, /shown once/)
+    const created = await cli(['keys', 'create', 'corrib', 'bridge'])
+    assert.match(created.stdout, /^corrib\/bridge\/\S+\n$/)
+    assert.match(created.stderr, /shown once/)
     const rotated = await cli(['keys', 'rotate', 'corrib', 'bridge'])
     assert.match(rotated.stdout, /^corrib\/bridge\.2\/\S+\n$/)
     const revoked = await cli(['keys', 'revoke', 'corrib', 'bridge'])
     assert.equal(revoked.code, ExitCode.Done)
-    const again = await cli(['keys', 'revoke', 'corrib', 'bridge'])
-    assert.equal(again.code, ExitCode.Failed)
-    assert.match(again.stderr, /has no key bridge/)
+    const revokedAgain = await cli(['keys', 'revoke', 'corrib', 'bridge'])
+    assert.equal(revokedAgain.code, ExitCode.Failed)
+    assert.match(revokedAgain.stderr, /has no key bridge/)
   })
 
   it('limits an operator’s token to its role', async () => {
     const args = ['operators', 'create', 'anna', '--team', 'ice']
-    const made = await cli([...args, '--role', 'viewer'])
-    const token = made.stdout.trim()
+    const created = await cli([...args, '--role', 'viewer'])
+    const token = created.stdout.trim()
     const list = await cli(['customers', 'list'], token)
     assert.match(list.stdout, /^ID\s+TEAM[^\n]*\ncorrib\s+ice/)
     const denied = await cli(['customers', 'remove', 'corrib'], token)
--- a/packages/cli/src/node/commands/secrets/createSecretFormatter.ts
+++ b/packages/cli/src/node/commands/secrets/createSecretFormatter.ts
@@ -9,7 +9,7 @@
   return (body) => {
     const response = body as Record<string, unknown>
     messages.info(
-      `Version ${String(response.version)} is in force. This ${field} is shown once; keep it now.`,
+      `Version ${String(response.version)} is in force. This ${field} is shown once; store it now.`,
     )
     return String(response[field])
   }
--- a/packages/daemon/src/node/configuration/createConfigurationStore.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationStore.ts
@@ -29,7 +29,7 @@
    * undefined until a log is known.
    */
   createTransfer(
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
 }
 
@@ -86,12 +86,12 @@
   }
 
   function createTransfer(
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined {
     const { logId, nextOffset } = state
     if (logId === undefined) return undefined
-    const isSameLog = since.logId === undefined || since.logId === logId
-    const records = isSameLog ? history.recordsFrom(since.from) : undefined
+    const isSameLog = request.logId === undefined || request.logId === logId
+    const records = isSameLog ? history.recordsFrom(request.from) : undefined
     if (records) return { logId, nextOffset, records }
     return { logId, nextOffset, snapshot: createSnapshot(state) }
   }
--- a/packages/daemon/src/node/configuration/createConfigurationTailer.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationTailer.ts
@@ -27,7 +27,7 @@
    * undefined until a log is known.
    */
   createTransfer(
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
   stop(): Promise<void>
 }
@@ -48,7 +48,7 @@
    */
   readonly fetch: (
     address: string,
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
   /** Current time, in milliseconds since the epoch. */
   readonly nowMs: () => number
@@ -93,7 +93,7 @@
       return reader.connected
     },
     refresh: () => reader.refresh(),
-    createTransfer: (since) => store.createTransfer(since),
+    createTransfer: (request) => store.createTransfer(request),
     stop: async () => {
       await Promise.all([reader.stop(), peerCatchUp.stop(), writer.stop()])
     },
--- a/packages/daemon/src/node/configuration/createPeerCatchUp.ts
+++ b/packages/daemon/src/node/configuration/createPeerCatchUp.ts
@@ -26,14 +26,15 @@
    */
   readonly fetch: (
     address: string,
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
   /** Whether this router follows the log itself. */
   readonly followsLog: () => boolean
 }
 
 /**
- * Starts fetching newer versions from peers while the log cannot be followed.
+ * Starts fetching newer versions from peers while the log cannot be followed,
+ * and reporting peers whose version has other contents.
  */
 export function createPeerCatchUp(options: PeerCatchUpOptions): Loop {
   const { store, logger, metrics, peers } = options
--- a/packages/daemon/src/node/settings/settingsSchema.ts
+++ b/packages/daemon/src/node/settings/settingsSchema.ts
@@ -88,11 +88,11 @@
       /** Milliseconds within which a request must arrive in full. @default 30000 */
       requestTimeoutMs: positiveMs.default(30_000),
       /**
-       * Open connections from one address; behind a load balancer that is the
+       * Most open connections from one address; behind a load balancer that is the
        * balancer's address.
        */
       maxConnectionsPerAddress: z.int().positive().optional(),
-      /** Open connections of one customer. @default 1024 */
+      /** Most open connections of one customer. @default 1024 */
       maxConnectionsPerCustomer: z.int().positive().default(1_024),
     })
     .prefault({}),
@@ -191,7 +191,10 @@
     .strictObject({
       /** Milliseconds between two batched appends of claims. @default 50 */
       batchMs: positiveMs.default(50),
-      /** Milliseconds until a claim that the log has not decided is refused. @default 1500 */
+      /**
+       * Milliseconds until a claim that the log has not decided is refused.
+       * @default 1500
+       */
       decideTimeoutMs: positiveMs.default(1_500),
       /** Claims kept in memory; older keys are refused. @default 50000 */
       maxClaims: z.int().positive().default(50_000),
--- a/packages/daemon/src/node/targets/createTargetClient.ts
+++ b/packages/daemon/src/node/targets/createTargetClient.ts
@@ -44,7 +44,7 @@
 ): OutgoingHttpHeaders {
   return {
     ...headersToTarget(routed.headers),
-    // The end of a compressed event stream could not be detected.
+    // Uncompressed, as the end of a compressed event stream cannot be detected.
     ...(routed.serviceKind === ServiceKind.Model
       ? { 'accept-encoding': 'identity' }
       : {}),
@@ -134,7 +134,9 @@
 
   return {
     async send(target, routed, traceHeaders, options = {}) {
-      // A pooled connection may close while a request is being written to it.
+      // A pooled connection may close while a request is being written to it,
+      // so
+      // only idempotent requests use one.
       const needsNewConnection =
         !routed.idempotent || options.newConnection === true
       const result = await sendExchange(target, {
--- a/packages/daemon/src/node/targets/responseValidator.ts
+++ b/packages/daemon/src/node/targets/responseValidator.ts
@@ -34,7 +34,10 @@
   ): RejectedResponse | undefined
 }
 
-/** Creates a validator that records which targets echo request ids. */
+/**
+ * Creates a validator that records which targets echo request ids. An engine
+ * that has echoed one is expected to do so in each successful response.
+ */
 export function createResponseValidator(): ResponseValidator {
   const echoingTargets = new LRUCache<string, true>({
     max: MAX_ECHOING_TARGETS,
--- a/packages/daemon/src/node/tasks/createLoop.ts
+++ b/packages/daemon/src/node/tasks/createLoop.ts
@@ -18,17 +18,17 @@
   const stopping = new AbortController()
   const { signal } = stopping
 
-  const stopped = (): boolean => signal.aborted
+  const isStopped = (): boolean => signal.aborted
 
   async function run(): Promise<void> {
     // Deferred, as the caller may still have to create what the first iteration
     // uses.
     await Promise.resolve()
-    while (!stopped()) {
+    while (!isStopped()) {
       try {
         await runOnce(signal)
       } catch (error) {
-        if (!stopped()) onError(error)
+        if (!isStopped()) onError(error)
       }
       await sleep(delayMs, undefined, { signal }).catch(() => undefined)
     }
