--- a/packages/cli/src/node/commands/config/diffCommand.ts
+++ b/packages/cli/src/node/commands/config/diffCommand.ts
@@ -1,7 +1,7 @@
 import { command, number, option, optional } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { asTable, runCall } from '../runCall.js'
-import { historyColumns, historyRow } from './historyCommand.js'
+import { createTableFormatter, runRequest } from '../runRequest.js'
+import { historyColumns, toHistoryRow } from './historyCommand.js'
 
 /** Shows what changed between two versions. */
 export const diffCommand = command({
@@ -19,15 +19,15 @@
     to: option({
       long: 'to',
       type: optional(number),
-      description: 'newer version; the one in force by default',
+      description: 'newer version; the current one by default',
     }),
   },
   handler: ({ from, to, ...connection }) => {
-    const end = to === undefined ? '' : `&to=${to}`
-    const path = `/config/diff?from=${from}${end}`
-    return runCall(connection, { path }, (body) => {
+    const toParam = to === undefined ? '' : `&to=${to}`
+    const path = `/config/diff?from=${from}${toParam}`
+    return runRequest(connection, { path }, (body) => {
       const { changes } = body as { changes: readonly unknown[] }
-      return asTable(historyColumns)(changes.map(historyRow))
+      return createTableFormatter(historyColumns)(changes.map(toHistoryRow))
     })
   },
 })
--- a/packages/cli/src/node/commands/config/statusCommand.ts
+++ b/packages/cli/src/node/commands/config/statusCommand.ts
@@ -1,7 +1,7 @@
 import { command } from 'cmd-ts'
 import { formatTable, type Row } from '../../output/table.js'
 import { connectionArgs } from '../connectionArgs.js'
-import { runCall } from '../runCall.js'
+import { runRequest } from '../runRequest.js'
 
 interface Status {
   readonly version: number
@@ -21,19 +21,19 @@
     ],
     status.routers,
   )
-  const spread = status.everywhere
-    ? `Version ${status.newest} is in force on every router heard of.`
-    : `Version ${status.newest} is not in force everywhere yet; ask again.`
-  const log = status.connected
+  const versionLine = status.everywhere
+    ? `Version ${status.newest} is in force on every known router.`
+    : `Version ${status.newest} is not in force on every router yet; check again later.`
+  const logLine = status.connected
     ? ''
-    : '\nThe router asked has no answer from the log.'
-  return `${table}\n${spread}${log}`
+    : '\nThe queried router does not reach the log service.'
+  return `${table}\n${versionLine}${logLine}`
 }
 
-/** Shows the version of each router. */
+/** Shows the configuration version of each router. */
 export const statusCommand = command({
   name: 'status',
   description: 'Show which version is in force on each router.',
   args: connectionArgs,
-  handler: (args) => runCall(args, { path: '/config/status' }, format),
+  handler: (args) => runRequest(args, { path: '/config/status' }, format),
 })
--- a/packages/cli/src/node/commands/entries/entryGroups.ts
+++ b/packages/cli/src/node/commands/entries/entryGroups.ts
@@ -1,10 +1,10 @@
 import { subcommands } from 'cmd-ts'
 import { createOperatorCommand } from '../secrets/createOperatorCommand.js'
 import { rotateOperatorCommand } from '../secrets/rotateOperatorCommand.js'
-import { entryCommands, entryGroup } from './entryCommands.js'
+import { createEntryCommands, createEntryGroup } from './createEntryCommands.js'
 
-/** Commands on customers. */
-export const customerCommands = entryGroup({
+/** Commands that manage customers. */
+export const customerCommands = createEntryGroup({
   section: 'customers',
   noun: 'customer',
   columns: [
@@ -15,8 +15,8 @@
   ],
 })
 
-/** Commands on services. */
-export const serviceCommands = entryGroup({
+/** Commands that manage services. */
+export const serviceCommands = createEntryGroup({
   section: 'services',
   noun: 'service',
   columns: [
@@ -26,8 +26,8 @@
   ],
 })
 
-/** Commands on rules. */
-export const ruleCommands = entryGroup({
+/** Commands that manage rules. */
+export const ruleCommands = createEntryGroup({
   section: 'rules',
   noun: 'rule',
   columns: [
@@ -38,14 +38,14 @@
   ],
 })
 
-/** Commands on teams. */
-export const teamCommands = entryGroup({
+/** Commands that manage teams. */
+export const teamCommands = createEntryGroup({
   section: 'teams',
   noun: 'team',
   columns: [{ title: 'QUOTAS', field: 'quotas' }],
 })
 
-const operatorEntries = entryCommands({
+const operatorEntries = createEntryCommands({
   section: 'operators',
   noun: 'operator',
   columns: [
@@ -54,7 +54,7 @@
   ],
 })
 
-/** Commands on operators; their tokens come from the router. */
+/** Commands that manage operators; the router creates their tokens. */
 export const operatorCommands = subcommands({
   name: 'operators',
   description: 'List and change operators and their tokens.',
--- a/packages/cli/src/node/commands/fleet/chatCommands.ts
+++ b/packages/cli/src/node/commands/fleet/chatCommands.ts
@@ -7,11 +7,11 @@
   subcommands,
 } from 'cmd-ts'
 import { connectionArgs } from '../connectionArgs.js'
-import { asTable, pathOf, runCall } from '../runCall.js'
+import { createTableFormatter, buildPath, runRequest } from '../runRequest.js'
 
 const where = command({
   name: 'where',
-  description: 'Show the target that the chat’s next request would go to.',
+  description: 'Show the target that would receive the chat’s next request.',
   examples: [
     {
       description: 'for one service',
@@ -30,17 +30,17 @@
       long: 'customer',
       type: string,
       defaultValue: () => '',
-      description: 'customer that asks',
+      description: 'customer that sends the request',
     }),
   },
   handler: ({ chat, service, customer, ...connection }) => {
     const query = new URLSearchParams({ customer })
     if (service !== undefined) query.set('service', service)
-    const path = `${pathOf('chats', chat)}?${query.toString()}`
-    return runCall(
+    const path = `${buildPath('chats', chat)}?${query.toString()}`
+    return runRequest(
       connection,
       { path },
-      asTable([
+      createTableFormatter([
         { title: 'CHAT', field: 'chat' },
         { title: 'SERVICE', field: 'service' },
         { title: 'TARGET', field: 'target' },
@@ -50,9 +50,9 @@
   },
 })
 
-/** Commands on chats. */
+/** Commands that locate chats. */
 export const chatCommands = subcommands({
   name: 'chats',
-  description: 'Find chats.',
+  description: 'Locate chats.',
   cmds: { where },
 })
--- a/packages/cli/src/node/output/printReply.ts
+++ b/packages/cli/src/node/output/printResponse.ts
@@ -3,15 +3,15 @@
 import { ExitCode } from '../exitCode.js'
 import { messages } from './messages.js'
 
-const EXIT_CODES: Readonly<Record<number, ExitCode>> = {
+const EXIT_CODES_BY_STATUS: Readonly<Record<number, ExitCode>> = {
   401: ExitCode.Forbidden,
   403: ExitCode.Forbidden,
   409: ExitCode.Conflict,
   504: ExitCode.Unknown,
 }
 
-/** Shows a successful answer to people. */
-export type Formatter = (body: unknown) => string
+/** Formats the body of a successful response for people. */
+export type BodyFormatter = (body: unknown) => string
 
 function errorMessage(body: unknown): string {
   const { error } = (body ?? {}) as { error?: { message?: unknown } }
@@ -20,28 +20,28 @@
     : JSON.stringify(body)
 }
 
-function asJson(body: unknown): string {
+function formatJson(body: unknown): string {
   return JSON.stringify(body, null, 2)
 }
 
-/** Prints an answer and returns the exit code that belongs to it. */
-export function printReply(
-  reply: Result<JsonResponse, RequestError>,
+/** Prints a response and returns its exit code. */
+export function printResponse(
+  result: Result<JsonResponse, RequestError>,
   json: boolean,
-  format: Formatter = asJson,
+  format: BodyFormatter = formatJson,
 ): ExitCode {
-  if (reply.isErr()) {
+  if (result.isErr()) {
     messages.error(
-      `${reply.error.message}; check --admin and that the router runs.`,
+      `${result.error.message}; check --admin and that the router runs.`,
     )
     return ExitCode.Unreachable
   }
-  const { status, body } = reply.value
+  const { status, body } = result.value
   if (status < 300) {
-    process.stdout.write(`${json ? asJson(body) : format(body)}\n`)
+    process.stdout.write(`${json ? formatJson(body) : format(body)}\n`)
     return ExitCode.Done
   }
   messages.error(`${errorMessage(body)}.`)
-  if (json) process.stdout.write(`${asJson(body)}\n`)
-  return EXIT_CODES[status] ?? ExitCode.Failed
+  if (json) process.stdout.write(`${formatJson(body)}\n`)
+  return EXIT_CODES_BY_STATUS[status] ?? ExitCode.Failed
 }
--- a/packages/cli/src/node/output/table.ts
+++ b/packages/cli/src/node/output/table.ts
@@ -3,16 +3,16 @@
 /** One column of a table. */
 export interface Column {
   readonly title: string
-  /** Name of the field shown. */
+  /** Field of the row that the column shows. */
   readonly field: string
-  /** @default false */
+  /** Aligns the column to the right. @default false */
   readonly right?: boolean
 }
 
 /** A record as the administration API sends it. */
 export type Row = Readonly<Record<string, unknown>>
 
-const PLAIN_LINES = {
+const NO_BORDERS = {
   top: '',
   'top-mid': '',
   'top-left': '',
@@ -30,7 +30,7 @@
   middle: '  ',
 }
 
-function cell(value: unknown): string {
+function formatCell(value: unknown): string {
   if (value === undefined || value === null) return '-'
   if (typeof value === 'number')
     return Number.isInteger(value) ? String(value) : value.toFixed(2)
@@ -38,19 +38,19 @@
   return JSON.stringify(value)
 }
 
-/** Lays records out as a table without lines. */
+/** Formats rows as a table without borders. */
 export function formatTable(
   columns: readonly Column[],
   rows: readonly Row[],
 ): string {
   const table = new Table({
     head: columns.map((column) => column.title),
-    chars: PLAIN_LINES,
+    chars: NO_BORDERS,
     style: { head: [], border: [], 'padding-left': 0, 'padding-right': 0 },
     colAligns: columns.map(({ right }) => (right ? 'right' : 'left')),
   })
   for (const row of rows)
-    table.push(columns.map(({ field }) => cell(row[field])))
+    table.push(columns.map(({ field }) => formatCell(row[field])))
   const lines = table.toString().split('\n')
   return lines.map((line) => line.trimEnd()).join('\n')
 }
--- a/packages/daemon/src/node/configuration/createConfigurationTailer.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationTailer.ts
@@ -9,39 +9,48 @@
 } from './configurationTransfer.js'
 import { createConfigurationStore } from './createConfigurationStore.js'
 import { createLogReader } from './createLogReader.js'
-import { createPeerFollower } from './createPeerFollower.js'
+import { createPeerCatchUp } from './createPeerCatchUp.js'
 import { createSnapshotWriter } from './createSnapshotWriter.js'
 
-/** Follows the configuration stream and holds the version in force. */
+/** Follows the configuration stream and holds the current configuration. */
 export interface ConfigurationTailer {
   readonly state: ConfigurationState
-  /** Whether this router reads the log and the last read was answered. */
+  /** Whether this router reads the log and the last read succeeded. */
   readonly connected: boolean
-  /** Reads what the log has now; returns whether it answered. */
+  /**
+   * Applies the records that the log holds now; resolves to false when the read
+   * fails.
+   */
   refresh(): Promise<boolean>
-  /** Returns what a peer that is behind needs; undefined without a log. */
-  transfer(
-    since: ConfigurationTransferRequest,
+  /**
+   * Returns the records or the snapshot that a peer needs to catch up;
+   * undefined until a log is known.
+   */
+  createTransfer(
+    request: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
   stop(): Promise<void>
 }
 
-/** What following the configuration works with. */
+/** Options for {@link createConfigurationTailer}. */
 export interface ConfigurationTailerOptions {
   readonly log: LogClient
   readonly logger: ConsolaInstance
   readonly metrics: Metrics
   readonly router: { readonly id: string; readonly dataCentre: string }
-  /** Milliseconds that the log keeps a record. */
+  /** Retention time of the log, in milliseconds. */
   readonly retentionMs: number
-  /** Live peers. */
+  /** Live peers that report a configuration. */
   readonly peers: () => readonly ConfigurationPeer[]
-  /** Fetches from the peer at an address; rejects when it does not answer. */
+  /**
+   * Fetches newer state from the peer at an address; rejects when it does not
+   * respond.
+   */
   readonly fetch: (
     address: string,
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
-  /** Milliseconds since the epoch. */
+  /** Current time, in milliseconds since the epoch. */
   readonly nowMs: () => number
 }
 
@@ -58,7 +67,7 @@
     shouldRead: () => shouldTail(router, peers()),
   })
   const followsLog = () => reader.connected
-  const follower = createPeerFollower({
+  const peerCatchUp = createPeerCatchUp({
     store,
     logger,
     metrics,
@@ -84,9 +93,9 @@
       return reader.connected
     },
     refresh: () => reader.refresh(),
-    transfer: (since) => store.transfer(since),
+    createTransfer: (request) => store.createTransfer(request),
     stop: async () => {
-      await Promise.all([reader.stop(), follower.stop(), writer.stop()])
+      await Promise.all([reader.stop(), peerCatchUp.stop(), writer.stop()])
     },
   }
 }
--- a/packages/daemon/src/node/configuration/createPeerFollower.ts
+++ b/packages/daemon/src/node/configuration/createPeerCatchUp.ts
@@ -11,48 +11,55 @@
   ConfigurationTransferRequest,
   ConfigurationTransfer,
 } from './configurationTransfer.js'
-import { PEER_FOLLOW_MS } from './constants.js'
+import { PEER_CATCH_UP_INTERVAL_MS } from './constants.js'
 import type { ConfigurationStore } from './createConfigurationStore.js'
 
-/** What following the peers works with. */
-export interface PeerFollowerOptions {
+/** Options for {@link createPeerCatchUp}. */
+export interface PeerCatchUpOptions {
   readonly store: ConfigurationStore
   readonly logger: ConsolaInstance
   readonly metrics: Metrics
   readonly peers: () => readonly ConfigurationPeer[]
-  /** Fetches from the peer at an address; rejects when it does not answer. */
+  /**
+   * Fetches newer state from the peer at an address; rejects when it does not
+   * respond.
+   */
   readonly fetch: (
     address: string,
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
-  /** Whether the log itself keeps this router current. */
+  /** Whether this router follows the log itself. */
   readonly followsLog: () => boolean
 }
 
-/** Starts fetching from peers that are ahead. */
-export function createPeerFollower(options: PeerFollowerOptions): Loop {
+/**
+ * Starts fetching newer versions from peers while the log cannot be followed,
+ * and reporting peers whose version has other contents.
+ */
+export function createPeerCatchUp(options: PeerCatchUpOptions): Loop {
   const { store, logger, metrics, peers } = options
-  let differing = ''
+  let reportedPeers = ''
   let seed = 0
 
-  function reportDiffering(): void {
+  function reportDifferingPeers(): void {
     const found = findDifferingPeers(store.state, peers()).join(', ')
-    if (found !== '' && found !== differing) {
-      const message = `Version ${store.state.version} has other contents on ${found}.`
+    if (found !== '' && found !== reportedPeers) {
+      const message = `Version ${store.state.version} differs from the one on ${found}.`
       logger.error(message)
       metrics.count('configuration.differing_peers')
     }
-    differing = found
+    reportedPeers = found
   }
 
-  function take(transfer: ConfigurationTransfer, from: number): void {
+  function applyTransfer(transfer: ConfigurationTransfer, from: number): void {
     const { logId, nextOffset, records, snapshot } = transfer
-    if (records) store.apply({ logId, firstOffset: from, nextOffset, records })
-    else if (snapshot !== undefined) store.adopt(snapshot)
+    if (records)
+      store.applyPage({ logId, firstOffset: from, nextOffset, records })
+    else if (snapshot !== undefined) store.applySnapshot(snapshot)
   }
 
-  async function round(): Promise<void> {
-    reportDiffering()
+  async function runOnce(): Promise<void> {
+    reportDifferingPeers()
     const { state } = store
     if (options.followsLog() && state.version > 0 && !state.problem) return
     seed += 1
@@ -61,10 +68,10 @@
     if (address === undefined) return
     const from = nextReadOffset(state)
     const { logId } = state
-    take(await options.fetch(address, { logId, from }), from)
+    applyTransfer(await options.fetch(address, { logId, from }), from)
   }
 
-  return createLoop(round, PEER_FOLLOW_MS, (error) => {
-    logger.debug(`A peer did not answer: ${String(error)}.`)
+  return createLoop(runOnce, PEER_CATCH_UP_INTERVAL_MS, (error) => {
+    logger.debug(`Catching up from a peer failed: ${String(error)}.`)
   })
 }
--- a/packages/daemon/src/node/metrics/createMetricsReporter.ts
+++ b/packages/daemon/src/node/metrics/createMetricsReporter.ts
@@ -3,12 +3,12 @@
 import type { Routing, TargetStatus } from '../routing/routing.js'
 import type { ResolvedSettings } from '../settings/settingsSchema.js'
 import { createLoop, type Loop } from '../tasks/createLoop.js'
-import { DEFAULT_METRICS_MS } from './constants.js'
+import { DEFAULT_METRICS_INTERVAL_MS } from './constants.js'
 import { ControlPurpose } from './controlPurpose.js'
 import type { TrafficMeter } from './createTrafficMeter.js'
 import type { Metrics } from './metrics.js'
 
-/** What is reported at intervals. */
+/** Options for {@link createMetricsReporter}. */
 export interface MetricsReporterOptions {
   readonly settings: Pick<ResolvedSettings, 'metrics'>
   readonly metrics: Metrics
@@ -18,41 +18,43 @@
   readonly membership: Pick<Membership, 'livePeers'>
 }
 
-/** Returns the highest load over the mean load; 1 while nothing runs. */
+/**
+ * Returns the highest load divided by the mean load; 1 when all loads are 0.
+ */
 export function loadSkew(loads: readonly number[]): number {
   let total = 0
   for (const load of loads) total += load
   return total === 0 ? 1 : (Math.max(...loads) * loads.length) / total
 }
 
-function byService(
+function groupByService(
   targets: readonly TargetStatus[],
 ): Map<string, TargetStatus[]> {
   const services = new Map<string, TargetStatus[]>()
   for (const target of targets) {
-    const known = services.get(target.service) ?? []
-    known.push(target)
-    services.set(target.service, known)
+    const group = services.get(target.service) ?? []
+    group.push(target)
+    services.set(target.service, group)
   }
   return services
 }
 
-/** Starts reporting gauges and the control traffic. */
+/** Starts reporting gauges and control traffic at intervals. */
 export function createMetricsReporter(options: MetricsReporterOptions): Loop {
   const { metrics, traffic, routing, tailer, membership } = options
-  let before = traffic.bytes()
+  let lastBytes = traffic.bytes()
 
   function reportTraffic(): void {
-    const now = traffic.bytes()
+    const bytes = traffic.bytes()
     for (const purpose of Object.values(ControlPurpose))
-      metrics.count('control.bytes', now[purpose] - before[purpose], {
+      metrics.count('control.bytes', bytes[purpose] - lastBytes[purpose], {
         purpose,
       })
-    before = now
+    lastBytes = bytes
   }
 
   function reportLoads(): void {
-    for (const [service, statuses] of byService(routing.status())) {
+    for (const [service, statuses] of groupByService(routing.status())) {
       const loads = statuses.map((status) => status.load)
       metrics.gauge('load.skew', loadSkew(loads), { service })
       for (const { id, load, bound } of statuses) {
@@ -70,7 +72,7 @@
       metrics.gauge('peers.live', membership.livePeers().length)
       return Promise.resolve()
     },
-    options.settings.metrics?.everyMs ?? DEFAULT_METRICS_MS,
+    options.settings.metrics?.everyMs ?? DEFAULT_METRICS_INTERVAL_MS,
     () => undefined,
   )
 }
--- a/packages/daemon/src/node/targets/createTargetPoller.ts
+++ b/packages/daemon/src/node/targets/createTargetPoller.ts
@@ -1,32 +1,35 @@
 import { createLoop, type Loop } from '../tasks/createLoop.js'
 import type { TargetAddress } from './targetClient.js'
 
-/** Which targets a round asks: those at work, or those without requests too. */
-export type PolledTargets = (resting: boolean) => readonly TargetAddress[]
+/**
+ * Returns the targets to poll: those with requests and, with `includeIdle`, the
+ * idle ones.
+ */
+export type PolledTargets = (includeIdle: boolean) => readonly TargetAddress[]
 
-/** What a poller works with. */
+/** Options for {@link createTargetPoller}. */
 export interface TargetPollerOptions {
   readonly targets: PolledTargets
-  /** Milliseconds between two rounds. */
-  readonly everyMs: number
-  /** Asks one target; does not reject. */
+  /** Milliseconds between two rounds of polls. */
+  readonly intervalMs: number
+  /** Polls one target; must not reject. */
   readonly poll: (target: TargetAddress) => Promise<void>
 }
 
-/** Targets without requests are asked once in this many rounds. */
-const RESTING_ROUNDS = 10
+/** Idle targets are polled once in this many rounds. */
+const IDLE_TARGET_POLL_ROUNDS = 10
 
-/** Starts asking targets, each round all at once. */
+/** Starts polling targets; a round polls all of them concurrently. */
 export function createTargetPoller(options: TargetPollerOptions): Loop {
-  const { targets, everyMs, poll } = options
+  const { targets, intervalMs, poll } = options
   let rounds = 0
   return createLoop(
     async () => {
       rounds += 1
-      const resting = rounds % RESTING_ROUNDS === 0
-      await Promise.all(targets(resting).map(poll))
+      const includeIdle = rounds % IDLE_TARGET_POLL_ROUNDS === 0
+      await Promise.all(targets(includeIdle).map(poll))
     },
-    everyMs,
+    intervalMs,
     () => undefined,
   )
 }
