--- a/packages/measure/src/node/routing/bench/createEventQueue.ts
+++ b/packages/measure/src/node/routing/bench/createEventQueue.ts
@@ -1,6 +1,7 @@
-/** Events in the order of their virtual time; ties in order of insertion. */
+/** Runs events in order of virtual time; ties in order of insertion. */
 export interface EventQueue {
   readonly nowMs: number
+  /** Schedules an event; a time in the past means now. */
   at(timeMs: number, run: () => void): void
   /** Runs all events up to `endMs`. */
   runUntil(endMs: number): void
@@ -16,36 +17,36 @@
   return a.timeMs < b.timeMs || (a.timeMs === b.timeMs && a.order < b.order)
 }
 
-/** Creates an empty queue at time zero, kept as a binary heap. */
+/** Creates an empty queue at time zero; it is a binary heap. */
 export function createEventQueue(): EventQueue {
   const heap: QueuedEvent[] = []
   let nowMs = 0
   let order = 0
 
-  function push(event: QueuedEvent): void {
+  function insert(event: QueuedEvent): void {
     let child = heap.length
     heap.push(event)
     while (child > 0) {
       const parent = (child - 1) >> 1
-      const above = heap[parent]
-      if (!above || !isBefore(event, above)) break
-      heap[child] = above
+      const parentEvent = heap[parent]
+      if (!parentEvent || !isBefore(event, parentEvent)) break
+      heap[child] = parentEvent
       child = parent
     }
     heap[child] = event
   }
 
-  function sink(event: QueuedEvent): void {
+  function siftDown(event: QueuedEvent): void {
     let parent = 0
     for (;;) {
       let child = 2 * parent + 1
       const left = heap[child]
       if (!left) break
       const right = heap[child + 1]
-      const least = right && isBefore(right, left) ? right : left
-      if (least === right) child += 1
-      if (!isBefore(least, event)) break
-      heap[parent] = least
+      const smaller = right && isBefore(right, left) ? right : left
+      if (smaller === right) child += 1
+      if (!isBefore(smaller, event)) break
+      heap[parent] = smaller
       parent = child
     }
     heap[parent] = event
@@ -54,7 +55,7 @@
   function pop(): QueuedEvent | undefined {
     const first = heap[0]
     const last = heap.pop()
-    if (last && heap.length > 0) sink(last)
+    if (last && heap.length > 0) siftDown(last)
     return first
   }
 
@@ -64,7 +65,7 @@
     },
     at(timeMs, run) {
       order += 1
-      push({ timeMs: Math.max(timeMs, nowMs), order, run })
+      insert({ timeMs: Math.max(timeMs, nowMs), order, run })
     },
     runUntil(endMs) {
       for (;;) {
--- a/packages/measure/src/node/routing/bench/createTrace.ts
+++ b/packages/measure/src/node/routing/bench/createTrace.ts
@@ -9,19 +9,19 @@
   readonly chat: string
   /** Position in the chat, from 0. */
   readonly turn: number
-  /** Index of the router that the balancer picks. */
+  /** Index of the router that the load balancer selects. */
   readonly router: number
   readonly durationMs: number
   /** Shared briefing that the chat starts from; empty for none. */
   readonly briefing: string
 }
 
-/** What a trace contains. */
-export interface TraceOptions {
+/** Options for {@link createTrace}. */
+export interface CreateTraceOptions {
   readonly deployment: Deployment
   readonly seed: number
   readonly lengthMs: number
-  /** Stretch in which the surging customers send ten times as much. */
+  /** Period in which the surging customers send ten times as much. */
   readonly surge?: { readonly fromMs: number; readonly toMs: number }
 }
 
@@ -37,20 +37,20 @@
   readonly briefing: string
 }
 
-function pauseMs(random: Random): number {
+function drawPauseMs(random: Random): number {
   const mean = random.unit() < LONG_PAUSE_SHARE ? LONG_PAUSE_MS : SHORT_PAUSE_MS
   return random.exponential(mean)
 }
 
-/** Briefings are asked for unevenly: low numbers more often. */
-function briefingOf(random: Random, briefings: number): string {
+/** Draws a briefing; lower numbers are more frequent. */
+function drawBriefing(random: Random, briefings: number): string {
   if (briefings === 0) return ''
   return `briefing-${Math.floor(briefings * random.unit() ** 2)}`
 }
 
 function addSession(
   session: Session,
-  options: TraceOptions,
+  options: CreateTraceOptions,
   random: Random,
   arrivals: Omit<Arrival, 'id'>[],
 ): void {
@@ -71,39 +71,40 @@
         briefing,
       })
     if (random.unit() >= 1 - 1 / deployment.turns) return
-    atMs += durationMs + pauseMs(random)
+    atMs += durationMs + drawPauseMs(random)
   }
 }
 
 function addCustomer(
   customer: number,
   share: number,
-  options: TraceOptions,
+  options: CreateTraceOptions,
   random: Random,
   arrivals: Omit<Arrival, 'id'>[],
 ): void {
   const { deployment, lengthMs, surge } = options
-  const perMs =
+  const requestsPerMs =
     (deployment.targets * deployment.meanInFlight) / deployment.durationMs
-  const startsPerMs = (perMs * share) / deployment.turns
-  const surges = surge !== undefined && deployment.surging.includes(customer)
-  const fastest = startsPerMs * (surges ? SURGE_FACTOR : 1)
-  // Chats that began long before the trace make its start steady.
-  const headMs = deployment.turns > 1 ? -2 * LONG_PAUSE_MS : 0
-  let startMs = headMs
+  const startsPerMs = (requestsPerMs * share) / deployment.turns
+  const hasSurge = surge !== undefined && deployment.surging.includes(customer)
+  const maxStartsPerMs = startsPerMs * (hasSurge ? SURGE_FACTOR : 1)
+  // Chats start before the trace so that its load is steady from the beginning.
+  const firstStartMs = deployment.turns > 1 ? -2 * LONG_PAUSE_MS : 0
+  let startMs = firstStartMs
   for (let number = 0; ; number += 1) {
-    startMs += random.exponential(1 / fastest)
+    startMs += random.exponential(1 / maxStartsPerMs)
     if (startMs >= lengthMs) return
-    const surging = surges && startMs >= surge.fromMs && startMs < surge.toMs
-    if (surges && !surging && random.unit() >= 1 / SURGE_FACTOR) continue
-    const briefing = briefingOf(random, deployment.briefings)
+    const surging = hasSurge && startMs >= surge.fromMs && startMs < surge.toMs
+    // Thins the surge rate out to the normal rate outside the surge.
+    if (hasSurge && !surging && random.unit() >= 1 / SURGE_FACTOR) continue
+    const briefing = drawBriefing(random, deployment.briefings)
     const chat = `c${customer}-${number}`
     addSession({ startMs, customer, chat, briefing }, options, random, arrivals)
   }
 }
 
-/** Creates the requests of a deployment in order of time. */
-export function createTrace(options: TraceOptions): Arrival[] {
+/** Creates the requests of a deployment, ordered by time. */
+export function createTrace(options: CreateTraceOptions): Arrival[] {
   const random = createRandom(options.seed)
   const arrivals: Omit<Arrival, 'id'>[] = []
   let total = 0
--- a/packages/measure/src/node/routing/bench/deployment.ts
+++ b/packages/measure/src/node/routing/bench/deployment.ts
@@ -1,4 +1,4 @@
-/** Sizes and habits of one deployment, for traces. */
+/** Size and traffic of one deployment, for traces. */
 export interface Deployment {
   readonly name: string
   readonly targets: number
@@ -11,7 +11,7 @@
   readonly turns: number
   /** Chats that a target's prompt cache holds. */
   readonly cacheChats: number
-  /** Customers whose surge the trace contains. */
+  /** Customers that surge in a trace with a surge. */
   readonly surging: readonly number[]
   /** Shared briefings that chats start from; 0 for none. */
   readonly briefings: number
@@ -46,7 +46,7 @@
   briefings: 0,
 }
 
-/** Corrib's chart delivery: three plain targets, short calls outside chats. */
+/** Corrib's chart delivery: three plain targets, short calls without chats. */
 export const corribPlain: Deployment = {
   ...corrib,
   name: 'corrib-plain',
--- a/packages/measure/src/node/routing/bench/pickIndex.ts
+++ b/packages/measure/src/node/routing/bench/pickIndex.ts
@@ -2,10 +2,10 @@
 
 /** Draws an index with the given probabilities, which add up to 1. */
 export function pickIndex(random: Random, shares: readonly number[]): number {
-  let left = random.unit()
+  let remaining = random.unit()
   for (const [index, share] of shares.entries()) {
-    left -= share
-    if (left < 0) return index
+    remaining -= share
+    if (remaining < 0) return index
   }
   return shares.length - 1
 }
--- a/packages/measure/src/node/routing/bench/simulateRouting.ts
+++ b/packages/measure/src/node/routing/bench/simulateRouting.ts
@@ -2,95 +2,108 @@
 import { createEventQueue } from './createEventQueue.js'
 import type { Arrival } from './createTrace.js'
 import type { Deployment } from './deployment.js'
-import type { BenchFleet, CreateWay } from './routingWay.js'
+import type {
+  SimulatedFleet,
+  CreateRoutingStrategy,
+} from './routingStrategy.js'
 
-/** A target that is off the VM list for a while. */
-export interface Absence {
+/** Period in which a target is missing from the VM list. */
+export interface TargetAbsence {
   readonly target: number
   readonly fromMs: number
   readonly toMs: number
 }
 
-/** A router that is gone for good. */
-export interface RouterLoss {
+/** Permanent failure of a router. */
+export interface RouterFailure {
   readonly router: number
   readonly atMs: number
 }
 
-/** One run of a way over a trace. */
-export interface RunOptions {
+/** Options for {@link simulateRouting}. */
+export interface SimulateRoutingOptions {
   readonly deployment: Deployment
   readonly arrivals: readonly Arrival[]
-  readonly createWay: CreateWay
-  /** Figures count from here on. */
+  readonly createStrategy: CreateRoutingStrategy
+  /** Reuse and skew are recorded from this time on. */
   readonly warmUpMs: number
   readonly lengthMs: number
-  readonly absences?: readonly Absence[]
-  readonly losses?: readonly RouterLoss[]
-  /** Milliseconds after which each router's list follows, by its index. */
+  readonly absences?: readonly TargetAbsence[]
+  readonly failures?: readonly RouterFailure[]
+  /** Milliseconds by which a router's VM list is late. @default 0 */
   readonly listLagMs?: (router: number) => number
 }
 
-/** What a run showed. */
-export interface RunResult {
+/** Result of a run. */
+export interface RoutingResult {
+  /** Requests that started on a target. */
   readonly placements: number
-  /** Share of the returning chats' requests that found their cache. */
+  /** Share of the requests of returning chats that found their cache. */
   readonly reuse: number
   /** Greatest (load - 1) / mean load right after a placement. */
   readonly peakSkew: number
   /** Placements above the bound. */
   readonly overBound: number
-  /** Greatest load above the bound at any placement, in requests. */
+  /** Greatest excess over the bound at any placement, in requests. */
   readonly worstExcess: number
-  /** Requests that no target took. */
+  /** Requests that started on no target. */
   readonly unplaced: number
   /** Target of each request by its id. */
   readonly targetOf: ReadonlyMap<number, number>
   /** Times at which a chat left a listed target at or below the mean load. */
-  readonly needlessMovesMs: readonly number[]
+  readonly needlessMovesAtMs: readonly number[]
 }
 
-const REPORT_EVERY_MS = 500
+const REPORT_INTERVAL_MS = 500
 const REPORT_LAG_MS = 2_000
 const MAX_LOAD_FACTOR = 1.25
+/** Tolerance for rounding errors of the bound, in requests. */
 const ROUNDING = 1e-9
 
-/** Runs a way over a trace in virtual time. */
-export function simulateRouting(options: RunOptions): RunResult {
-  const { deployment, arrivals, warmUpMs, absences = [], losses = [] } = options
+/** Runs a strategy over a trace in virtual time. */
+export function simulateRouting(
+  options: SimulateRoutingOptions,
+): RoutingResult {
+  const {
+    deployment,
+    arrivals,
+    warmUpMs,
+    absences = [],
+    failures = [],
+  } = options
   const { targets, routers } = deployment
   const queue = createEventQueue()
   const loads = new Array<number>(targets).fill(0)
   const caches = loads.map(
     () => new LRUCache<string, true>({ max: deployment.cacheChats }),
   )
-  const seen = new Set<string>()
+  const seenChats = new Set<string>()
   const hints = new Map<string, number>()
   const targetOf = new Map<number, number>()
-  const needlessMovesMs: number[] = []
+  const needlessMovesAtMs: number[] = []
   const reports: number[][] = []
   let placements = 0
-  let returning = 0
-  let hits = 0
+  let returningRequests = 0
+  let cacheHits = 0
   let overBound = 0
   let worstExcess = 0
   let peakSkew = 0
-  let total = 0
+  let totalLoad = 0
 
-  const lagOf = options.listLagMs ?? (() => 0)
-  const lostAt = (router: number): number =>
-    losses.find((loss) => loss.router === router)?.atMs ?? Infinity
+  const listLagMs = options.listLagMs ?? (() => 0)
+  const failureAtMs = (router: number): number =>
+    failures.find((failure) => failure.router === router)?.atMs ?? Infinity
 
-  const liveLists = new Map<string, number[]>()
+  const liveRoutersByKey = new Map<string, number[]>()
 
-  function liveAt(atMs: number): number[] {
-    const key = losses.map((loss) => Number(atMs < loss.atMs)).join('')
-    const known = liveLists.get(key)
-    if (known) return known
+  function liveRoutersAt(atMs: number): number[] {
+    const key = failures.map((failure) => Number(atMs < failure.atMs)).join('')
+    const cached = liveRoutersByKey.get(key)
+    if (cached) return cached
     const live: number[] = []
     for (let router = 0; router < routers; router += 1)
-      if (atMs < lostAt(router)) live.push(router)
-    liveLists.set(key, live)
+      if (atMs < failureAtMs(router)) live.push(router)
+    liveRoutersByKey.set(key, live)
     return live
   }
 
@@ -110,7 +123,7 @@
     let live = 0
     for (let index = 0; index < targets; index += 1)
       if (!isAbsent(index, 0)) live += 1
-    const mean = total / live
+    const mean = totalLoad / live
     const load = loads[target] ?? 0
     const excess = load - (MAX_LOAD_FACTOR * mean + 1)
     worstExcess = Math.max(worstExcess, excess)
@@ -119,84 +132,87 @@
       peakSkew = Math.max(peakSkew, (load - 1) / mean)
   }
 
-  function countReuse(arrival: Arrival, target: number): void {
+  function recordReuse(arrival: Arrival, target: number): void {
     const cached = caches[target]?.get(arrival.chat) ?? false
     caches[target]?.set(arrival.chat, true)
-    if (seen.has(arrival.chat) && queue.nowMs >= warmUpMs) {
-      returning += 1
-      if (cached) hits += 1
+    if (seenChats.has(arrival.chat) && queue.nowMs >= warmUpMs) {
+      returningRequests += 1
+      if (cached) cacheHits += 1
     }
-    seen.add(arrival.chat)
+    seenChats.add(arrival.chat)
   }
 
-  function noteMove(arrival: Arrival, target: number): void {
-    const before = hints.get(arrival.chat)
-    if (before === undefined || before === target || isAbsent(before, 0)) return
-    if ((loads[before] ?? 0) <= total / targets)
-      needlessMovesMs.push(queue.nowMs)
+  function recordNeedlessMove(arrival: Arrival, target: number): void {
+    const previous = hints.get(arrival.chat)
+    if (previous === undefined || previous === target || isAbsent(previous, 0))
+      return
+    if ((loads[previous] ?? 0) <= totalLoad / targets)
+      needlessMovesAtMs.push(queue.nowMs)
   }
 
-  function run(arrival: Arrival, target: number): void {
+  function startRequest(arrival: Arrival, target: number): void {
     placements += 1
-    noteMove(arrival, target)
+    recordNeedlessMove(arrival, target)
     targetOf.set(arrival.id, target)
     loads[target] = (loads[target] ?? 0) + 1
-    total += 1
+    totalLoad += 1
     checkBound(target)
-    countReuse(arrival, target)
+    recordReuse(arrival, target)
     hints.set(arrival.chat, target)
     const endMs = Math.min(
       queue.nowMs + arrival.durationMs,
-      Math.max(queue.nowMs, lostAt(arrival.router)),
+      Math.max(queue.nowMs, failureAtMs(arrival.router)),
     )
     queue.at(endMs, () => {
       loads[target] = (loads[target] ?? 0) - 1
-      total -= 1
-      way.ended(arrival, target)
+      totalLoad -= 1
+      strategy.onRequestEnd(arrival, target)
     })
   }
 
-  const fleet: BenchFleet = {
+  const fleet: SimulatedFleet = {
     get nowMs() {
       return queue.nowMs
     },
     targets,
     routers,
     maxLoadFactor: MAX_LOAD_FACTOR,
-    after: (delayMs, task) => {
+    schedule: (delayMs, task) => {
       queue.at(queue.nowMs + delayMs, task)
     },
-    reported: (target) => reports[0]?.[target] ?? 0,
-    listed: (router, target) => !isAbsent(target, lagOf(router)),
-    liveRouters: (router) => liveAt(queue.nowMs - lagOf(router)),
+    reportedLoad: (target) => reports[0]?.[target] ?? 0,
+    isListed: (router, target) => !isAbsent(target, listLagMs(router)),
+    liveRouters: (router) => liveRoutersAt(queue.nowMs - listLagMs(router)),
     callerHint: (arrival) => hints.get(arrival.chat),
-    run,
+    startRequest,
     trueLoad: (target) => loads[target] ?? 0,
-    trulyCached: (chat) => {
+    trueCacheTarget: (chat) => {
       const found = caches.findIndex((cache) => cache.has(chat))
       return found < 0 ? undefined : found
     },
   }
 
-  function report(): void {
+  function recordReport(): void {
     reports.push([...loads])
-    if (reports.length > REPORT_LAG_MS / REPORT_EVERY_MS + 1) reports.shift()
-    queue.at(queue.nowMs + REPORT_EVERY_MS, report)
+    if (reports.length > REPORT_LAG_MS / REPORT_INTERVAL_MS + 1) reports.shift()
+    queue.at(queue.nowMs + REPORT_INTERVAL_MS, recordReport)
   }
 
-  report()
-  const way = options.createWay(fleet)
+  recordReport()
+  const strategy = options.createStrategy(fleet)
   for (const arrival of arrivals) {
     const router = liveRouterFor(arrival)
     queue.at(arrival.atMs, () => {
-      way.place(router === arrival.router ? arrival : { ...arrival, router })
+      strategy.onArrival(
+        router === arrival.router ? arrival : { ...arrival, router },
+      )
     })
   }
 
   function liveRouterFor(arrival: Arrival): number {
     for (let step = 0; step < routers; step += 1) {
       const router = (arrival.router + step) % routers
-      if (arrival.atMs < lostAt(router)) return router
+      if (arrival.atMs < failureAtMs(router)) return router
     }
     return arrival.router
   }
@@ -204,12 +220,12 @@
   queue.runUntil(options.lengthMs)
   return {
     placements,
-    reuse: hits / Math.max(1, returning),
+    reuse: cacheHits / Math.max(1, returningRequests),
     peakSkew,
     overBound,
     worstExcess,
     unplaced: arrivals.length - placements,
     targetOf,
-    needlessMovesMs,
+    needlessMovesAtMs,
   }
 }
--- a/packages/measure/src/node/routing/measureChurn.ts
+++ b/packages/measure/src/node/routing/measureChurn.ts
@@ -1,40 +1,45 @@
 import type { Figure } from '../figure.js'
-import type { Absence, RunResult } from './bench/simulateRouting.js'
+import type { TargetAbsence, RoutingResult } from './bench/simulateRouting.js'
 import type { Arrival } from './bench/createTrace.js'
 import type { Deployment } from './bench/deployment.js'
-import { homeOfBench } from './bench/ways/homeOfBench.js'
-import { deployments, runGrants, TRACE_MS, traceOf } from './benchRuns.js'
+import { resolveCoordinatorIndex } from './bench/strategies/resolveCoordinatorIndex.js'
+import {
+  deployments,
+  runGrantStrategy,
+  TRACE_MS,
+  createRoutingTrace,
+} from './routingRuns.js'
 
-const UNRELATED_MOVES_BOUND = 0.02
-const FLAP_LOSS_BOUND = 0.1
-const CHANGE_MS = 600_000
-/** Milliseconds until a new home has collected its counts. */
-const COLLECTED_MS = 1_000
-const AFTER_MS = 240_000
-const FLAP_EVERY_MS = 30_000
-const FLAP_FOR_MS = 10_000
-const LEAVING = 2
-const FLAPPING = [1, 4]
+const MAX_UNRELATED_MOVES = 0.02
+const MAX_REUSE_LOSS = 0.1
+const CHANGE_AT_MS = 600_000
+/** Milliseconds until a new coordinator has collected the in-flight counts. */
+const COLLECT_MS = 1_000
+const OBSERVED_MS = 240_000
+const FLAP_INTERVAL_MS = 30_000
+const FLAP_DURATION_MS = 10_000
+const LEAVING_TARGET = 2
+const FLAPPING_TARGETS = [1, 4]
 
-/** Share of returning chats that left a target other than `leaving`. */
+/** Returns the share of returning requests that moved off a target other than `leaving`. */
 function movedShare(
   arrivals: readonly Arrival[],
-  result: RunResult,
+  result: RoutingResult,
   window: { readonly fromMs: number; readonly toMs: number },
   leaving: number | undefined,
 ): number {
-  const last = new Map<string, number>()
+  const lastTargetOf = new Map<string, number>()
   let returned = 0
   let moved = 0
   for (const { id, chat, atMs } of arrivals) {
     const target = result.targetOf.get(id)
-    const before = last.get(chat)
+    const previous = lastTargetOf.get(chat)
     if (target === undefined) continue
-    last.set(chat, target)
-    if (before === undefined || atMs < window.fromMs || atMs >= window.toMs)
+    lastTargetOf.set(chat, target)
+    if (previous === undefined || atMs < window.fromMs || atMs >= window.toMs)
       continue
     returned += 1
-    if (before !== target && before !== leaving) moved += 1
+    if (previous !== target && previous !== leaving) moved += 1
   }
   return moved / Math.max(1, returned)
 }
@@ -42,38 +47,42 @@
 function measureLeaving(
   deployment: Deployment,
   arrivals: Arrival[],
-  calm: RunResult,
+  undisturbed: RoutingResult,
 ): Figure {
-  const absences = [{ target: LEAVING, fromMs: CHANGE_MS, toMs: TRACE_MS }]
-  const { result } = runGrants(deployment, arrivals, {}, { absences })
-  const window = { fromMs: CHANGE_MS, toMs: CHANGE_MS + AFTER_MS }
-  const usual = movedShare(arrivals, calm, window, undefined)
+  const absences = [
+    { target: LEAVING_TARGET, fromMs: CHANGE_AT_MS, toMs: TRACE_MS },
+  ]
+  const { result } = runGrantStrategy(deployment, arrivals, {}, { absences })
+  const window = { fromMs: CHANGE_AT_MS, toMs: CHANGE_AT_MS + OBSERVED_MS }
+  const baseline = movedShare(arrivals, undisturbed, window, undefined)
   return {
     measure: `routing.${deployment.name}.leaving-target.other-chats-moved`,
-    value: movedShare(arrivals, result, window, LEAVING) - usual,
+    value: movedShare(arrivals, result, window, LEAVING_TARGET) - baseline,
     unit: 'share of returning requests beyond a calm run',
-    bound: UNRELATED_MOVES_BOUND,
-    baseline: usual,
+    bound: MAX_UNRELATED_MOVES,
+    baseline,
   }
 }
 
-function measureReplaced(
+function measureCoordinatorFailure(
   deployment: Deployment,
   arrivals: Arrival[],
-  calm: RunResult,
+  undisturbed: RoutingResult,
 ): Figure[] {
-  const losses = [{ router: homeOfBench(deployment), atMs: CHANGE_MS }]
-  const { result } = runGrants(deployment, arrivals, {}, { losses })
+  const failures = [
+    { router: resolveCoordinatorIndex(deployment), atMs: CHANGE_AT_MS },
+  ]
+  const { result } = runGrantStrategy(deployment, arrivals, {}, { failures })
   const name = `routing.${deployment.name}.lost-home`
-  const moves = (run: RunResult): number =>
-    run.needlessMovesMs.filter((ms) => ms >= CHANGE_MS + COLLECTED_MS).length
+  const countMoves = (run: RoutingResult): number =>
+    run.needlessMovesAtMs.filter((ms) => ms >= CHANGE_AT_MS + COLLECT_MS).length
   return [
     {
       measure: `${name}.chats-moved-from-free-targets`,
-      value: moves(result),
+      value: countMoves(result),
       unit: 'requests after the new home has collected',
       bound: 0,
-      baseline: moves(calm),
+      baseline: countMoves(undisturbed),
     },
     {
       measure: `${name}.over-bound`,
@@ -90,48 +99,53 @@
   ]
 }
 
-function flaps(): Absence[] {
-  const absences: Absence[] = []
-  for (const [position, target] of FLAPPING.entries())
+function createFlaps(): TargetAbsence[] {
+  const absences: TargetAbsence[] = []
+  for (const [position, target] of FLAPPING_TARGETS.entries())
     for (
       let fromMs = 300_000 + 7_000 * position;
       fromMs < TRACE_MS;
-      fromMs += FLAP_EVERY_MS
+      fromMs += FLAP_INTERVAL_MS
     )
-      absences.push({ target, fromMs, toMs: fromMs + FLAP_FOR_MS })
+      absences.push({ target, fromMs, toMs: fromMs + FLAP_DURATION_MS })
   return absences
 }
 
 function measureFlaps(
   deployment: Deployment,
   arrivals: Arrival[],
-  calm: RunResult,
+  undisturbed: RoutingResult,
 ): Figure {
-  const { result } = runGrants(
+  const { result } = runGrantStrategy(
     deployment,
     arrivals,
     { dampFlaps: true },
-    { absences: flaps() },
+    { absences: createFlaps() },
+  )
+  const undamped = runGrantStrategy(
+    deployment,
+    arrivals,
+    {},
+    { absences: createFlaps() },
   )
-  const undamped = runGrants(deployment, arrivals, {}, { absences: flaps() })
   return {
     measure: `routing.${deployment.name}.flapping.reuse-lost`,
-    value: 1 - result.reuse / calm.reuse,
+    value: 1 - result.reuse / undisturbed.reuse,
     unit: 'share of reuse',
-    bound: FLAP_LOSS_BOUND,
-    baseline: 1 - undamped.result.reuse / calm.reuse,
+    bound: MAX_REUSE_LOSS,
+    baseline: 1 - undamped.result.reuse / undisturbed.reuse,
   }
 }
 
-/** What leaving and flapping targets and lost routers cost. */
+/** Measures the effect of leaving and flapping targets and of a failed coordinator. */
 export function measureChurn(): Figure[] {
   return deployments.flatMap((deployment) => {
-    const arrivals = traceOf(deployment, false)
-    const calm = runGrants(deployment, arrivals).result
+    const arrivals = createRoutingTrace(deployment, false)
+    const undisturbed = runGrantStrategy(deployment, arrivals).result
     return [
-      measureLeaving(deployment, arrivals, calm),
-      ...measureReplaced(deployment, arrivals, calm),
-      measureFlaps(deployment, arrivals, calm),
+      measureLeaving(deployment, arrivals, undisturbed),
+      ...measureCoordinatorFailure(deployment, arrivals, undisturbed),
+      measureFlaps(deployment, arrivals, undisturbed),
     ]
   })
 }
--- a/packages/measure/src/node/routing/measureControl.ts
+++ b/packages/measure/src/node/routing/measureControl.ts
@@ -16,22 +16,28 @@
   CUSTOMER_SHARES,
   type Deployment,
 } from './bench/deployment.js'
-import { deployments, runGrants, TRACE_MS, traceOf } from './benchRuns.js'
+import {
+  deployments,
+  runGrantStrategy,
+  TRACE_MS,
+  createRoutingTrace,
+} from './routingRuns.js'
 
-const TODAY_BOUND = 4_000
-const TARGET_BOUND = 27_000
+/** Bytes a second that a router may send at the current fleet size. */
+const MAX_BYTES_PER_S = 4_000
+const MAX_BYTES_PER_S_AT_PLANNED_SIZE = 27_000
 const PLAIN_TRACE_MS = 60_000
-/** Requests a second of one router at the target size: 100,000 over 2,600. */
-const TARGET_REQUESTS_PER_S = 100_000 / 2_600
+/** Requests a second of one router at the planned size: 100,000 over 2,600 routers. */
+const REQUESTS_PER_S_AT_PLANNED_SIZE = 100_000 / 2_600
 const SECRET = 'measure-secret-0123456789'
-const anyPort = { host: '127.0.0.1', port: 0 }
+const ANY_PORT = { host: '127.0.0.1', port: 0 }
 
 /** Bytes of one exchange, headers included. */
 interface ExchangeBytes {
-  /** Sent by the router that asks. */
-  readonly ask: number
-  /** Sent by the router that answers. */
-  readonly reply: number
+  /** Bytes from the router that sends the request. */
+  readonly request: number
+  /** Bytes from the router that responds. */
+  readonly response: number
 }
 
 interface WireBytes {
@@ -40,10 +46,10 @@
   readonly heartbeatMs: number
 }
 
-function settings() {
+function createSettings() {
   const resolved = resolveSettings({
     router: { id: 'router-1', dataCentre: 'dc-1' },
-    listen: { callers: anyPort, peers: anyPort, admin: anyPort },
+    listen: { callers: ANY_PORT, peers: ANY_PORT, admin: ANY_PORT },
     logService: { url: 'http://127.0.0.1:1' },
     vmList: { url: 'http://127.0.0.1:1' },
     secrets: { peer: SECRET, hint: SECRET, admin: SECRET },
@@ -51,7 +57,7 @@
   return resolved._unsafeUnwrap()
 }
 
-function heartbeatOf(deployment: Deployment) {
+function createHeartbeat(deployment: Deployment) {
   const targets: Record<string, number> = {}
   for (let index = 0; index < deployment.targets; index += 1)
     targets[`target-${index}`] = 3
@@ -67,136 +73,151 @@
   }
 }
 
-function grantOf(deployment: Deployment) {
+function createSampleGrantRequest(deployment: Deployment) {
   const targets = Array.from({ length: deployment.targets }, (_, index) => ({
     id: `target-${index}`,
     weight: 1,
   }))
   const [group] = groupTargets('model', targets)
   if (!group) throw new Error('a group needs targets')
-  const holder = createCreditPool({
+  const creditPool = createCreditPool({
     group,
     router: 'router-1',
     incarnation: '00000000-0000-0000-0000-000000000000/1abcdef',
   })
   for (let index = 0; index < deployment.targets; index += 1)
-    holder.addInFlight(index)
-  return holder.createGrantRequest(
+    creditPool.addInFlight(index)
+  return creditPool.createGrantRequest(
     [{ key: '1abcdef', hint: 3, exclude: [] }],
     0,
   )
 }
 
-/** Sends real calls over loopback and counts what went over the sockets. */
-async function wireBytes(deployment: Deployment): Promise<WireBytes> {
-  const resolved = settings()
-  const heartbeat = heartbeatOf(deployment)
+/** Sends requests over loopback and counts the bytes on the sockets. */
+async function measureWireBytes(deployment: Deployment): Promise<WireBytes> {
+  const settings = createSettings()
+  const heartbeat = createHeartbeat(deployment)
   const loans = new Array<number>(deployment.targets).fill(0)
-  const reply: GrantResponse = {
+  const response: GrantResponse = {
     status: GrantStatus.Granted,
     epoch: 122_942,
     granted: [3],
     loans,
   }
-  const server = await createPeerServer(resolved, {
+  const server = await createPeerServer(settings, {
     onHeartbeat: () => heartbeat,
-    onGrant: () => reply,
+    onGrant: () => response,
     onCollect: () => {
-      throw new Error('the measure sends no such call')
+      throw new Error('unexpected collect request')
     },
     onConfigurationSince: () => undefined,
   })
   const client = createPeerClient(SECRET)
   const address = `${server.address.host}:${server.address.port}`
-  const count = async (
-    call: () => Promise<unknown>,
+  const countBytes = async (
+    send: () => Promise<unknown>,
   ): Promise<ExchangeBytes> => {
-    await call()
+    // The first exchange opens the connection and is not counted.
+    await send()
     const { sentBytes, receivedBytes } = client.traffic
-    await call()
+    await send()
     return {
-      ask: client.traffic.sentBytes - sentBytes,
-      reply: client.traffic.receivedBytes - receivedBytes,
+      request: client.traffic.sentBytes - sentBytes,
+      response: client.traffic.receivedBytes - receivedBytes,
     }
   }
-  const grant = await count(() => client.grant(address, grantOf(deployment)))
-  const beat = await count(() => client.heartbeat(address, heartbeat))
+  const grant = await countBytes(() =>
+    client.grant(address, createSampleGrantRequest(deployment)),
+  )
+  const heartbeatBytes = await countBytes(() =>
+    client.heartbeat(address, heartbeat),
+  )
   client.close()
   await server.stop()
-  return { grant, heartbeat: beat, heartbeatMs: resolved.peers.heartbeatMs }
+  return {
+    grant,
+    heartbeat: heartbeatBytes,
+    heartbeatMs: settings.peers.heartbeatMs,
+  }
 }
 
 function heartbeatBytesPerS(wire: WireBytes, peers: number): number {
-  const { ask, reply } = wire.heartbeat
-  // Each pair exchanges one heartbeat an interval, begun by either side.
-  return (((ask + reply) / 2) * peers * 1_000) / wire.heartbeatMs
+  const { request, response } = wire.heartbeat
+  // Each pair exchanges one heartbeat an interval, sent by either side.
+  return (((request + response) / 2) * peers * 1_000) / wire.heartbeatMs
 }
 
 async function measureDeployment(deployment: Deployment): Promise<Figure[]> {
-  const wire = await wireBytes(deployment)
-  const { tally } = runGrants(deployment, traceOf(deployment, false))
+  const wire = await measureWireBytes(deployment)
+  const { tally } = runGrantStrategy(
+    deployment,
+    createRoutingTrace(deployment, false),
+  )
   const seconds = TRACE_MS / 1_000
-  const exchanges = [...tally.exchangesOf].sort((a, b) => a - b)
-  const home = ((exchanges.at(-1) ?? 0) * wire.grant.reply) / seconds
-  const other = ((exchanges.at(0) ?? 0) * wire.grant.ask) / seconds
-  const beats = heartbeatBytesPerS(wire, deployment.routers - 1)
-  const perRequest =
+  const exchanges = [...tally.exchangesByRouter].sort((a, b) => a - b)
+  const coordinatorRate =
+    ((exchanges.at(-1) ?? 0) * wire.grant.response) / seconds
+  const otherRate = ((exchanges.at(0) ?? 0) * wire.grant.request) / seconds
+  const heartbeatRate = heartbeatBytesPerS(wire, deployment.routers - 1)
+  const exchangesPerRequest =
     exchanges.reduce((sum, count) => sum + count, 0) /
     2 /
-    traceOf(deployment, false).length
-  const atTarget =
-    TARGET_REQUESTS_PER_S * perRequest * (wire.grant.ask + wire.grant.reply)
+    createRoutingTrace(deployment, false).length
+  const rateAtPlannedSize =
+    REQUESTS_PER_S_AT_PLANNED_SIZE *
+    exchangesPerRequest *
+    (wire.grant.request + wire.grant.response)
   const name = `routing.${deployment.name}.control`
   return [
     {
       measure: `${name}.grant-exchange`,
-      value: wire.grant.ask + wire.grant.reply,
+      value: wire.grant.request + wire.grant.response,
       unit: 'bytes, headers included',
     },
     {
       measure: `${name}.heartbeat-exchange`,
-      value: wire.heartbeat.ask + wire.heartbeat.reply,
+      value: wire.heartbeat.request + wire.heartbeat.response,
       unit: 'bytes, headers included',
     },
     {
       measure: `${name}.sent-by-home`,
-      value: home + beats,
+      value: coordinatorRate + heartbeatRate,
       unit: 'bytes a second',
-      bound: TODAY_BOUND,
+      bound: MAX_BYTES_PER_S,
     },
     {
       measure: `${name}.sent-by-others`,
-      value: other + beats,
+      value: otherRate + heartbeatRate,
       unit: 'bytes a second',
-      bound: TODAY_BOUND,
+      bound: MAX_BYTES_PER_S,
     },
     {
       measure: `${name}.grants-at-2600-nodes`,
-      value: atTarget,
+      value: rateAtPlannedSize,
       unit: 'bytes a second sent',
-      bound: TARGET_BOUND,
+      bound: MAX_BYTES_PER_S_AT_PLANNED_SIZE,
     },
   ]
 }
 
-/** Plain services have short calls, of which each one asks the home. */
+/** Plain services have short requests, each of which asks the coordinator. */
 async function measurePlain(deployment: Deployment): Promise<Figure> {
-  const wire = await wireBytes(deployment)
-  const arrivals = traceOf(deployment, false, PLAIN_TRACE_MS)
-  const changes = { lengthMs: PLAIN_TRACE_MS }
-  const { tally } = runGrants(deployment, arrivals, {}, changes)
-  const exchanges = Math.max(...tally.exchangesOf)
+  const wire = await measureWireBytes(deployment)
+  const arrivals = createRoutingTrace(deployment, false, PLAIN_TRACE_MS)
+  const overrides = { lengthMs: PLAIN_TRACE_MS }
+  const { tally } = runGrantStrategy(deployment, arrivals, {}, overrides)
+  const exchanges = Math.max(...tally.exchangesByRouter)
   const seconds = PLAIN_TRACE_MS / 1_000
   return {
     measure: `routing.${deployment.name}.control.sent-by-home`,
-    value: (exchanges * wire.grant.reply) / seconds,
+    value: (exchanges * wire.grant.response) / seconds,
     unit: `bytes a second at ${Math.round(arrivals.length / seconds)} calls a second`,
-    bound: TODAY_BOUND,
+    bound: MAX_BYTES_PER_S,
     knownRed: true,
   }
 }
 
-/** Bytes that routers send each other, as they go over the wire. */
+/** Measures the bytes on the wire between routers. */
 export async function measureControl(): Promise<Figure[]> {
   const figures: Figure[] = []
   for (const deployment of deployments)
--- a/packages/measure/src/node/routing/measureDecision.ts
+++ b/packages/measure/src/node/routing/measureDecision.ts
@@ -7,43 +7,50 @@
 } from '@auburnbay/core'
 import type { Figure } from '../figure.js'
 
-const SIZES = [16, 1_000, 10_000]
+const TARGET_COUNTS = [16, 1_000, 10_000]
 const DECISIONS = 20_000
 const ROUNDS = 3
-/** Growth of a decision's time from 16 to 10,000 targets that is allowed. */
-const GROWTH_BOUND = 4
-const IN_FLIGHT_EACH = 20
+/** Factor by which a decision may slow down from 16 to 10,000 targets. */
+const MAX_TIME_GROWTH = 4
+const IN_FLIGHT_PER_TARGET = 20
 
-function targetsOf(count: number) {
+function createTargets(count: number) {
   return Array.from({ length: count }, (_, index) => ({
     id: `target-${index}`,
     weight: 1,
   }))
 }
 
-/** Prepares a service; the function returned takes one whole decision. */
-function prepare(count: number) {
-  const groups = groupTargets('model', targetsOf(count))
+/** Creates a service; the returned `decide` makes one complete decision. */
+function createService(count: number) {
+  const groups = groupTargets('model', createTargets(count))
   const ring = createGroupRing(groups)
-  const parts = new Map(
+  const statesByGroup = new Map(
     groups.map((group) => {
-      const home = createGroupCoordinator({ group, router: 'r' })
-      const holder = createCreditPool({ group, router: 'r', incarnation: 'r' })
-      const [call] = home.update({
+      const coordinator = createGroupCoordinator({ group, router: 'r' })
+      const creditPool = createCreditPool({
+        group,
+        router: 'r',
+        incarnation: 'r',
+      })
+      const [call] = coordinator.update({
         coordinator: 'r',
         routers: ['r'],
         epoch: 0,
         nowMs: 0,
       })
       if (call)
-        home.applyCollectResponse(holder.handleCollectRequest(call.request), 0)
+        coordinator.applyCollectResponse(
+          creditPool.handleCollectRequest(call.request),
+          0,
+        )
       for (let index = 0; index < group.members.length; index += 1)
-        for (let used = 0; used < IN_FLIGHT_EACH; used += 1)
-          holder.addInFlight(index)
-      return [group, { home, holder }]
+        for (let used = 0; used < IN_FLIGHT_PER_TARGET; used += 1)
+          creditPool.addInFlight(index)
+      return [group, { coordinator, creditPool }]
     }),
   )
-  const view = {
+  const context = {
     nowMs: 1,
     maxLoadFactor: 1.25,
     eligible: () => true,
@@ -51,43 +58,46 @@
   }
   const decide = (chat: string): void => {
     const [group] = ring.groupsOf(chat)
-    const part = group && parts.get(group)
-    if (!group || !part) return
+    const state = group && statesByGroup.get(group)
+    if (!group || !state) return
     rendezvousOrder(chat, group.members)
-    const ask = part.holder.createGrantRequest([{ key: chat, exclude: [] }], 1)
-    const reply = part.home.handleGrantRequest(ask, view)
+    const request = state.creditPool.createGrantRequest(
+      [{ key: chat, exclude: [] }],
+      1,
+    )
+    const response = state.coordinator.handleGrantRequest(request, context)
     const granted =
-      part.holder.applyGrantResponse(ask.sequence, reply)?.[0] ?? -1
-    if (granted >= 0) part.holder.removeInFlight(granted)
+      state.creditPool.applyGrantResponse(request.sequence, response)?.[0] ?? -1
+    if (granted >= 0) state.creditPool.removeInFlight(granted)
   }
   return { decide, ringBytes: ring.bytes }
 }
 
-function secondsOf(decide: (chat: string) => void): number {
-  let best = Infinity
+function measureSeconds(decide: (chat: string) => void): number {
+  let fastestMs = Infinity
   for (let round = 0; round < ROUNDS; round += 1) {
     const startMs = performance.now()
     for (let index = 0; index < DECISIONS; index += 1) decide(`chat-${index}`)
-    best = Math.min(best, performance.now() - startMs)
+    fastestMs = Math.min(fastestMs, performance.now() - startMs)
   }
-  return best / 1_000
+  return fastestMs / 1_000
 }
 
-/** Time and memory of a decision as targets grow. */
+/** Measures time and memory of a decision by the number of targets. */
 export function measureDecision(): Figure[] {
-  const runs = SIZES.map((count) => {
-    const { decide, ringBytes } = prepare(count)
-    return { count, seconds: secondsOf(decide), ringBytes }
+  const runs = TARGET_COUNTS.map((count) => {
+    const { decide, ringBytes } = createService(count)
+    return { count, seconds: measureSeconds(decide), ringBytes }
   })
-  const [small, ...larger] = runs
+  const [smallest, ...larger] = runs
   const figures: Figure[] = []
   for (const { count, seconds, ringBytes } of larger) {
     figures.push(
       {
         measure: `routing.decision-time-at-${count}-targets`,
-        value: seconds / (small?.seconds ?? seconds),
+        value: seconds / (smallest?.seconds ?? seconds),
         unit: 'x the time at 16 targets',
-        bound: GROWTH_BOUND,
+        bound: MAX_TIME_GROWTH,
         timing: true,
       },
       {
--- a/packages/measure/src/node/routing/measureLoad.ts
+++ b/packages/measure/src/node/routing/measureLoad.ts
@@ -1,37 +1,42 @@
 import { BoundKind, type Figure } from '../figure.js'
-import { deployments, runGrants, runWay, traceOf } from './benchRuns.js'
+import {
+  deployments,
+  runGrantStrategy,
+  runStrategy,
+  createRoutingTrace,
+} from './routingRuns.js'
 import type { Deployment } from './bench/deployment.js'
-import type { CreateWay } from './bench/routingWay.js'
+import type { CreateRoutingStrategy } from './bench/routingStrategy.js'
 import {
-  createAllKnowingWay,
-  createBoundedHashWay,
-  createLeastLoadedWay,
-  createModuloWay,
-  createRandomWay,
-  createTwoOfTopWay,
-} from './bench/ways/baselineWays.js'
+  createOracleStrategy,
+  createBoundedHashStrategy,
+  createLeastLoadedStrategy,
+  createModuloStrategy,
+  createRandomStrategy,
+  createTwoOfTopStrategy,
+} from './bench/strategies/baselineStrategies.js'
 
-const REUSE_BOUND = 0.95
+const MIN_REUSE_RATIO = 0.95
 const MAX_LOAD_FACTOR = 1.25
-/** Milliseconds that a request waits for the home at most. */
-const HOME_LIMIT_MS = 5
-const SILENCE = { fromMs: 480_000, toMs: 660_000 }
-/** Each router sees the VM list a different time late. */
+/** Longest wait of a request for the coordinator. */
+const COORDINATOR_TIMEOUT_MS = 5
+const COORDINATOR_OUTAGE = { fromMs: 480_000, toMs: 660_000 }
+/** Each router's VM list is late by a different time. */
 const listLagMs = (router: number): number => router * 250
 
-const baselines: readonly (readonly [string, CreateWay])[] = [
-  ['modulo', createModuloWay],
-  ['random', createRandomWay],
-  ['least-loaded', createLeastLoadedWay],
-  ['a-bounded-hash', createBoundedHashWay],
-  ['b-two-of-top', createTwoOfTopWay],
-  ['all-knowing', createAllKnowingWay],
+const baselines: readonly (readonly [string, CreateRoutingStrategy])[] = [
+  ['modulo', createModuloStrategy],
+  ['random', createRandomStrategy],
+  ['least-loaded', createLeastLoadedStrategy],
+  ['a-bounded-hash', createBoundedHashStrategy],
+  ['b-two-of-top', createTwoOfTopStrategy],
+  ['all-knowing', createOracleStrategy],
 ]
 
 function measureBaselines(deployment: Deployment): Figure[] {
-  const arrivals = traceOf(deployment, true)
+  const arrivals = createRoutingTrace(deployment, true)
   return baselines.flatMap(([name, createWay]) => {
-    const { peakSkew, overBound, reuse } = runWay(
+    const { peakSkew, overBound, reuse } = runStrategy(
       deployment,
       arrivals,
       createWay,
@@ -50,11 +55,21 @@
 }
 
 function measureSurge(deployment: Deployment): Figure[] {
-  const arrivals = traceOf(deployment, true)
+  const arrivals = createRoutingTrace(deployment, true)
   const absences = [{ target: 2, fromMs: 560_000, toMs: 680_000 }]
-  const changes = { absences, listLagMs }
-  const { result, tally } = runGrants(deployment, arrivals, {}, changes)
-  const hashed = runWay(deployment, arrivals, createBoundedHashWay, changes)
+  const overrides = { absences, listLagMs }
+  const { result, tally } = runGrantStrategy(
+    deployment,
+    arrivals,
+    {},
+    overrides,
+  )
+  const hashed = runStrategy(
+    deployment,
+    arrivals,
+    createBoundedHashStrategy,
+    overrides,
+  )
   const { sources, longestWaitMs } = tally
   const name = `routing.${deployment.name}`
   return [
@@ -81,26 +96,26 @@
       measure: `${name}.grants.longest-wait`,
       value: longestWaitMs,
       unit: 'ms',
-      bound: HOME_LIMIT_MS,
+      bound: COORDINATOR_TIMEOUT_MS,
     },
   ]
 }
 
 function measureSteady(deployment: Deployment): Figure[] {
-  const arrivals = traceOf(deployment, false)
-  const known = runWay(deployment, arrivals, createAllKnowingWay)
-  const hashed = runWay(deployment, arrivals, createBoundedHashWay)
-  const { result } = runGrants(deployment, arrivals)
-  const unhinted = runGrants(deployment, arrivals, { hints: false })
+  const arrivals = createRoutingTrace(deployment, false)
+  const oracle = runStrategy(deployment, arrivals, createOracleStrategy)
+  const hashed = runStrategy(deployment, arrivals, createBoundedHashStrategy)
+  const { result } = runGrantStrategy(deployment, arrivals)
+  const unhinted = runGrantStrategy(deployment, arrivals, { hints: false })
   const name = `routing.${deployment.name}.grants`
   return [
     {
       measure: `${name}.reuse-of-all-knowing`,
-      value: result.reuse / known.reuse,
+      value: result.reuse / oracle.reuse,
       unit: 'ratio',
-      bound: REUSE_BOUND,
+      bound: MIN_REUSE_RATIO,
       boundKind: BoundKind.AtLeast,
-      baseline: hashed.reuse / known.reuse,
+      baseline: hashed.reuse / oracle.reuse,
     },
     {
       measure: `${name}.over-bound-steady`,
@@ -111,16 +126,16 @@
     },
     {
       measure: `${name}.reuse-of-all-knowing-without-hint`,
-      value: unhinted.result.reuse / known.reuse,
+      value: unhinted.result.reuse / oracle.reuse,
       unit: 'ratio',
     },
   ]
 }
 
-function measureSilence(deployment: Deployment): Figure[] {
-  const arrivals = traceOf(deployment, true)
-  const { result, tally } = runGrants(deployment, arrivals, {
-    silence: SILENCE,
+function measureCoordinatorOutage(deployment: Deployment): Figure[] {
+  const arrivals = createRoutingTrace(deployment, true)
+  const { result, tally } = runGrantStrategy(deployment, arrivals, {
+    coordinatorOutage: COORDINATOR_OUTAGE,
   })
   const name = `routing.${deployment.name}.silent-home`
   return [
@@ -140,7 +155,7 @@
       measure: `${name}.longest-wait`,
       value: tally.longestWaitMs,
       unit: 'ms',
-      bound: HOME_LIMIT_MS,
+      bound: COORDINATOR_TIMEOUT_MS,
     },
     {
       measure: `${name}.forced`,
@@ -150,12 +165,12 @@
   ]
 }
 
-/** Load bound, skew and reuse of every way, steady and under surge. */
+/** Measures load bound, skew and reuse of each strategy, steady and in a surge. */
 export function measureLoad(): Figure[] {
   return deployments.flatMap((deployment) => [
     ...measureBaselines(deployment),
     ...measureSurge(deployment),
     ...measureSteady(deployment),
-    ...measureSilence(deployment),
+    ...measureCoordinatorOutage(deployment),
   ])
 }
--- a/packages/measure/src/node/routing/measureMovedChats.ts
+++ b/packages/measure/src/node/routing/measureMovedChats.ts
@@ -3,10 +3,10 @@
 
 const CHATS = 20_000
 const TARGETS = 13
-const UNRELATED_MOVES_BOUND = 0.02
+const MAX_UNRELATED_MOVES = 0.02
 
 function movedShare(
-  place: (chat: string, targets: string[]) => string,
+  selectTarget: (chat: string, targets: string[]) => string,
 ): number {
   const before = Array.from(
     { length: TARGETS },
@@ -17,8 +17,8 @@
   let moved = 0
   for (let index = 0; index < CHATS; index += 1) {
     const chat = `chat-${index}`
-    const first = place(chat, before)
-    if (first !== leaving && first !== place(chat, after)) moved += 1
+    const first = selectTarget(chat, before)
+    if (first !== leaving && first !== selectTarget(chat, after)) moved += 1
   }
   return moved / CHATS
 }
@@ -32,13 +32,13 @@
   return targets[hash32(chat) % targets.length] ?? ''
 }
 
-/** Share of chats that move though their own target stays. */
+/** Measures the share of chats that move although their target stays. */
 export function measureMovedChats(): Figure {
   return {
     measure: 'routing.moved-chats-on-leave',
     value: movedShare(rendezvous),
     unit: 'share of chats',
-    bound: UNRELATED_MOVES_BOUND,
+    bound: MAX_UNRELATED_MOVES,
     baseline: movedShare(modulo),
   }
 }
--- a/packages/measure/src/node/routing/routingMeasures.ts
+++ b/packages/measure/src/node/routing/routingMeasures.ts
@@ -5,7 +5,7 @@
 import { measureLoad } from './measureLoad.js'
 import { measureMovedChats } from './measureMovedChats.js'
 
-/** Figures of the choice of targets. */
+/** Figures of target selection. */
 export const routingMeasures: MeasureGroup = {
   name: 'routing',
   run: async () => [
