--- a/packages/measure/src/node/limits/createTrace.ts
+++ b/packages/measure/src/node/limits/createTrace.ts
@@ -1,50 +1,50 @@
 import type { WaitingRequest } from '@auburnbay/core'
 import { pickIndex } from '../routing/bench/pickIndex.js'
 import { createRandom } from '../routing/bench/createRandom.js'
-import { type Deployment, MEAN_RUN_MS, placesOf } from './deployments.js'
+import { type Deployment, MEAN_RUN_MS, slotsPerRouter } from './deployments.js'
 
-/** One request of a trace. */
+/** A request of a trace and its run time. */
 export interface TraceRequest extends WaitingRequest {
   readonly runMs: number
 }
 
-/** What a trace is drawn from. */
-export interface TraceOptions {
+/** Options for {@link createTrace}. */
+export interface CreateTraceOptions {
   readonly deployment: Deployment
   readonly seed: number
   readonly lengthMs: number
-  /** Offered load as a multiple of what the places take, by customer. */
+  /** Offered load of a customer as a multiple of the slots' capacity. */
   readonly load: (customer: number, atMs: number) => number
   /** @default 1 for each customer */
   readonly weights?: readonly number[]
-  /** Shares of the ranks. @default a tenth in the top rank */
+  /** Shares of the requests by rank. @default a tenth in the top rank */
   readonly rankShares?: readonly number[]
 }
 
-/** Ranks of the trace and their shares of its requests. */
+/** Ranks of the requests, top rank first. */
 export const RANKS: readonly number[] = [0, 3, 6, 9]
 const RANK_SHARES = [0.1, 0.3, 0.4, 0.2]
-/** Longest wait of a request without a deadline, as the daemon's default. */
+/** Longest wait of a request without a deadline; the daemon's default. */
 export const MAX_WAIT_MS = 10_000
 const LONG_DEADLINE_MS = 60_000
 const LONG_DEADLINE_SHARE = 0.1
-const STEP_MS = 100
+const MAX_STEP_MS = 100
 
-/** Draws the arrivals of one router, a Poisson stream for each customer. */
-export function createTrace(options: TraceOptions): TraceRequest[] {
+/** Creates the arrivals of one router, a Poisson process for each customer. */
+export function createTrace(options: CreateTraceOptions): TraceRequest[] {
   const { deployment, seed, lengthMs, load, weights = [] } = options
   const { rankShares = RANK_SHARES } = options
   const random = createRandom(seed)
-  const fullRatePerMs = placesOf(deployment) / MEAN_RUN_MS
+  const fullRatePerMs = slotsPerRouter(deployment) / MEAN_RUN_MS
   const requests: TraceRequest[] = []
-  for (const customer of deployment.customers.keys()) {
+  for (const customer of deployment.customerShares.keys()) {
     let atMs = 0
     while (atMs < lengthMs) {
       const ratePerMs = fullRatePerMs * load(customer, atMs)
       const pauseMs = random.exponential(1 / ratePerMs)
-      // A slow stretch must not swallow the start of a fast one.
-      if (pauseMs > STEP_MS) {
-        atMs += STEP_MS
+      // Bounds each step so that a low rate does not skip the start of a high one.
+      if (pauseMs > MAX_STEP_MS) {
+        atMs += MAX_STEP_MS
         continue
       }
       atMs += pauseMs
--- a/packages/measure/src/node/limits/limitsMeasures.ts
+++ b/packages/measure/src/node/limits/limitsMeasures.ts
@@ -6,7 +6,7 @@
 import { measureShares } from './measureShares.js'
 import { measureShedding } from './measureShedding.js'
 
-/** Figures of order, limits and retries. */
+/** Figures of queue order, limits, retries and load shedding. */
 export const limitsMeasures: MeasureGroup = {
   name: 'limits',
   run: () => [
--- a/packages/measure/src/node/limits/measureOrder.ts
+++ b/packages/measure/src/node/limits/measureOrder.ts
@@ -1,30 +1,30 @@
 import type { Figure } from '../figure.js'
 import { RANKS } from './createTrace.js'
 import type { Deployment } from './deployments.js'
-import { staticRule } from './queuePolicy.js'
+import { createStaticRule } from './queuePolicy.js'
 import {
   MAX_WAITING,
   runFifo,
   runRanked,
   servedShare,
-  topWaitMs,
-  traceOf,
+  topRankWaitP95Ms,
+  createQueueTrace,
 } from './queueRuns.js'
 
 const OVERLOAD = 2
 const NORMAL_LOAD = 0.8
-/** Time to the first token for 95 in 100 requests. */
-const FIRST_TOKEN_MS = 500
+/** Bound on the 95th percentile of the time to the first token. */
+const MAX_FIRST_TOKEN_MS = 500
 
-/** Order of a router's queue at twice the load that its places take. */
+/** Measures the order of a router's queue at twice the load of its slots. */
 export function measureOrder(deployment: Deployment): Figure[] {
   const { name } = deployment
-  const overload = traceOf(deployment, () => OVERLOAD)
-  const normal = traceOf(deployment, () => NORMAL_LOAD)
+  const overload = createQueueTrace(deployment, () => OVERLOAD)
+  const normal = createQueueTrace(deployment, () => NORMAL_LOAD)
   const run = runRanked(deployment, overload)
   const fifo = runFifo(deployment, overload)
-  const [top = 0] = RANKS
-  const lowest = RANKS.at(-1)
+  const [topRank = 0] = RANKS
+  const lowestRank = RANKS.at(-1)
   const unreserved = runRanked(deployment, overload, undefined, 0)
   return [
     {
@@ -36,21 +36,21 @@
     },
     {
       measure: `limits.${name}.top-rank-wait-p95-overload`,
-      value: topWaitMs(run),
+      value: topRankWaitP95Ms(run),
       unit: 'ms',
-      bound: FIRST_TOKEN_MS,
-      baseline: topWaitMs(fifo),
+      bound: MAX_FIRST_TOKEN_MS,
+      baseline: topRankWaitP95Ms(fifo),
     },
     {
       measure: `limits.${name}.top-rank-wait-p95-normal`,
-      value: topWaitMs(runRanked(deployment, normal)),
+      value: topRankWaitP95Ms(runRanked(deployment, normal)),
       unit: 'ms',
-      bound: FIRST_TOKEN_MS,
-      baseline: topWaitMs(runFifo(deployment, normal)),
+      bound: MAX_FIRST_TOKEN_MS,
+      baseline: topRankWaitP95Ms(runFifo(deployment, normal)),
     },
     {
       measure: `limits.${name}.top-rank-wait-p95-without-reserve`,
-      value: topWaitMs(unreserved),
+      value: topRankWaitP95Ms(unreserved),
       unit: 'ms',
     },
     {
@@ -61,10 +61,10 @@
     },
     {
       measure: `limits.${name}.top-rank-not-served`,
-      value: 1 - servedShare(run, top),
+      value: 1 - servedShare(run, topRank),
       unit: 'share of the top rank',
       bound: 0,
-      baseline: 1 - servedShare(fifo, top),
+      baseline: 1 - servedShare(fifo, topRank),
     },
     {
       measure: `limits.${name}.shed-before-lower-rank`,
@@ -74,11 +74,11 @@
     },
     {
       measure: `limits.${name}.lowest-rank-served`,
-      value: servedShare(run, lowest),
+      value: servedShare(run, lowestRank),
       unit: 'share of the lowest rank',
       baseline: servedShare(
-        runRanked(deployment, overload, staticRule(MAX_WAITING)),
-        lowest,
+        runRanked(deployment, overload, createStaticRule(MAX_WAITING)),
+        lowestRank,
       ),
     },
   ]
--- a/packages/measure/src/node/limits/measureRetries.ts
+++ b/packages/measure/src/node/limits/measureRetries.ts
@@ -4,7 +4,7 @@
 
 const REQUESTS = 20_000
 
-/** Retries and ejection while half of a service is down. */
+/** Measures retries and ejection while half of a service is down. */
 export function measureRetries({ name, targets }: Deployment): Figure[] {
   const service = { targets, requests: REQUESTS }
   const run = runRetries({ ...service, budgeted: true, ejecting: true })
@@ -22,17 +22,17 @@
   return [
     {
       measure: `${measure}.retry-ratio-half-down`,
-      value: run.retries / run.firstTries,
+      value: run.retries / run.firstAttempts,
       unit: 'retries a first try',
       bound: RETRY_RATIO,
-      baseline: unlimited.retries / unlimited.firstTries,
+      baseline: unlimited.retries / unlimited.firstAttempts,
     },
     {
       measure: `${measure}.retry-ratio-half-down-without-ejection`,
-      value: budgetOnly.retries / budgetOnly.firstTries,
+      value: budgetOnly.retries / budgetOnly.firstAttempts,
       unit: 'retries a first try',
       bound: RETRY_RATIO,
-      baseline: unlimited.retries / unlimited.firstTries,
+      baseline: unlimited.retries / unlimited.firstAttempts,
     },
     {
       measure: `${measure}.unsafe-retries`,
@@ -43,15 +43,15 @@
     },
     {
       measure: `${measure}.answered-half-down`,
-      value: run.answered / run.firstTries,
+      value: run.answered / run.firstAttempts,
       unit: 'share of requests',
-      baseline: unlimited.answered / unlimited.firstTries,
+      baseline: unlimited.answered / unlimited.firstAttempts,
     },
     {
       measure: `${measure}.tries-wasted-half-down`,
-      value: run.wasted / run.firstTries,
+      value: run.wastedAttempts / run.firstAttempts,
       unit: 'tries at targets that are down, for each request',
-      baseline: unlimited.wasted / unlimited.firstTries,
+      baseline: unlimited.wastedAttempts / unlimited.firstAttempts,
     },
     {
       measure: `${measure}.ejected-share`,
--- a/packages/measure/src/node/limits/measureShares.ts
+++ b/packages/measure/src/node/limits/measureShares.ts
@@ -1,61 +1,66 @@
 import type { Figure } from '../figure.js'
 import type { Deployment } from './deployments.js'
-import { runFifo, runRanked, traceOf } from './queueRuns.js'
-import { Ending, type QueueRun } from './runQueue.js'
+import { runFifo, runRanked, createQueueTrace } from './queueRuns.js'
+import { QueueOutcome, type QueueRun } from './runQueue.js'
 import { quantile } from './statistics.js'
 
 const LOAD = 0.8
 const SURGE_FACTOR = 10
-const SURGING = 0
+const SURGING_CUSTOMER = 0
 const SURGE_FROM_MS = 60_000
 const SURGE_UNTIL_MS = 240_000
 const WEIGHT_SCALE = 20
-const SHARE_ERROR_BOUND = 0.05
+const MAX_SHARE_ERROR = 0.05
 
-function isAffected(customer: string, atMs: number): boolean {
-  if (customer === `customer-${SURGING}`) return false
+function isOtherCustomerInSurge(customer: string, atMs: number): boolean {
+  if (customer === `customer-${SURGING_CUSTOMER}`) return false
   return atMs >= SURGE_FROM_MS && atMs < SURGE_UNTIL_MS
 }
 
-/** Largest part of its own demand that a customer within its share lost. */
-function shareError(run: QueueRun): number {
+/** Returns the largest part of its demand that a customer within its share lost. */
+function maxUnservedShare(run: QueueRun): number {
   const demand = new Map<string, number>()
   const served = new Map<string, number>()
-  for (const { request, ending } of run.results) {
+  for (const { request, outcome } of run.results) {
     const { customer, enqueuedAtMs } = request
-    if (!isAffected(customer, enqueuedAtMs)) continue
+    if (!isOtherCustomerInSurge(customer, enqueuedAtMs)) continue
     demand.set(customer, (demand.get(customer) ?? 0) + 1)
-    if (ending === Ending.Served)
+    if (outcome === QueueOutcome.Served)
       served.set(customer, (served.get(customer) ?? 0) + 1)
   }
-  let worst = 0
-  for (const [customer, wanted] of demand)
-    worst = Math.max(worst, 1 - (served.get(customer) ?? 0) / wanted)
-  return worst
+  let maxUnserved = 0
+  for (const [customer, requested] of demand)
+    maxUnserved = Math.max(
+      maxUnserved,
+      1 - (served.get(customer) ?? 0) / requested,
+    )
+  return maxUnserved
 }
 
-function waitP95(run: QueueRun): number {
+function waitP95Ms(run: QueueRun): number {
   const waits: number[] = []
-  for (const { request, ending, waitMs } of run.results)
+  for (const { request, outcome, waitMs } of run.results)
     if (
-      ending === Ending.Served &&
-      isAffected(request.customer, request.enqueuedAtMs)
+      outcome === QueueOutcome.Served &&
+      isOtherCustomerInSurge(request.customer, request.enqueuedAtMs)
     )
       waits.push(waitMs)
   return quantile(waits, 0.95)
 }
 
-/** Customers within their share while the largest one surges. */
+/** Measures customers within their share while the largest one surges. */
 export function measureShares(deployment: Deployment): Figure[] {
-  const { name, customers } = deployment
-  const trace = traceOf(deployment, () => 0, {
+  const { name, customerShares } = deployment
+  const trace = createQueueTrace(deployment, () => 0, {
     load: (customer, atMs) => {
-      const surges =
-        customer === SURGING && atMs >= SURGE_FROM_MS && atMs < SURGE_UNTIL_MS
-      const share = customers[customer] ?? 0
-      return LOAD * share * (surges ? SURGE_FACTOR : 1)
+      const isSurge =
+        customer === SURGING_CUSTOMER &&
+        atMs >= SURGE_FROM_MS &&
+        atMs < SURGE_UNTIL_MS
+      const share = customerShares[customer] ?? 0
+      return LOAD * share * (isSurge ? SURGE_FACTOR : 1)
     },
-    weights: customers.map((share) => share * WEIGHT_SCALE),
+    weights: customerShares.map((share) => share * WEIGHT_SCALE),
     rankShares: [0, 0, 1, 0],
   })
   const run = runRanked(deployment, trace)
@@ -63,16 +68,16 @@
   return [
     {
       measure: `limits.${name}.share-error-in-surge`,
-      value: shareError(run),
+      value: maxUnservedShare(run),
       unit: "share of a customer's own demand",
-      bound: SHARE_ERROR_BOUND,
-      baseline: shareError(fifo),
+      bound: MAX_SHARE_ERROR,
+      baseline: maxUnservedShare(fifo),
     },
     {
       measure: `limits.${name}.wait-p95-within-share-in-surge`,
-      value: waitP95(run),
+      value: waitP95Ms(run),
       unit: 'ms',
-      baseline: waitP95(fifo),
+      baseline: waitP95Ms(fifo),
     },
   ]
 }
--- a/packages/measure/src/node/limits/measureShedding.ts
+++ b/packages/measure/src/node/limits/measureShedding.ts
@@ -1,73 +1,75 @@
 import type { Figure } from '../figure.js'
 import type { Deployment } from './deployments.js'
-import { forecastRule } from './forecastRule.js'
-import { type CapacityRule, staticRule } from './queuePolicy.js'
+import { createForecastRule } from './createForecastRule.js'
+import { type CapacityRule, createStaticRule } from './queuePolicy.js'
 import {
   MAX_WAITING,
-  refusalWaitMs,
+  meanRejectionWaitMs,
   runRanked,
   servedShare,
-  topWaitMs,
-  traceOf,
+  topRankWaitP95Ms,
+  createQueueTrace,
 } from './queueRuns.js'
 
 const OVERLOAD = 2
-const BURST_EVERY_MS = 30_000
+const BURST_INTERVAL_MS = 30_000
 const BURST_MS = 3_000
 const BURST_LOAD = 3
-const LOAD_BETWEEN = 0.6
+const LOAD_BETWEEN_BURSTS = 0.6
 const FORECAST = { windowMs: 5_000, sampleMs: 500 }
 
-interface SheddingWay {
-  readonly way: string
-  readonly rule?: () => CapacityRule
+interface SheddingRule {
+  readonly name: string
+  readonly createRule?: () => CapacityRule
 }
 
-/** The daemon's way has no rule of its own here. */
-const ways: readonly SheddingWay[] = [
-  { way: 'drain-time' },
-  { way: 'static-1024', rule: () => staticRule(MAX_WAITING) },
-  { way: 'static-64', rule: () => staticRule(64) },
+/** Rules under comparison; without `createRule`, the daemon's rule applies. */
+const rules: readonly SheddingRule[] = [
+  { name: 'drain-time' },
+  { name: 'static-1024', createRule: () => createStaticRule(MAX_WAITING) },
+  { name: 'static-64', createRule: () => createStaticRule(64) },
   {
-    way: 'forecast-256-10s',
-    rule: () =>
-      forecastRule({ ...FORECAST, maxWaiting: 256, horizonMs: 10_000 }),
+    name: 'forecast-256-10s',
+    createRule: () =>
+      createForecastRule({ ...FORECAST, maxWaiting: 256, horizonMs: 10_000 }),
   },
   {
-    way: 'forecast-64-5s',
-    rule: () => forecastRule({ ...FORECAST, maxWaiting: 64, horizonMs: 5_000 }),
+    name: 'forecast-64-5s',
+    createRule: () =>
+      createForecastRule({ ...FORECAST, maxWaiting: 64, horizonMs: 5_000 }),
   },
   {
-    way: 'forecast-64-2s',
-    rule: () => forecastRule({ ...FORECAST, maxWaiting: 64, horizonMs: 2_000 }),
+    name: 'forecast-64-2s',
+    createRule: () =>
+      createForecastRule({ ...FORECAST, maxWaiting: 64, horizonMs: 2_000 }),
   },
 ]
 
 function burstLoad(atMs: number): number {
-  return atMs % BURST_EVERY_MS < BURST_MS ? BURST_LOAD : LOAD_BETWEEN
+  return atMs % BURST_INTERVAL_MS < BURST_MS ? BURST_LOAD : LOAD_BETWEEN_BURSTS
 }
 
-/** When to start shedding: bounds on the queue against the forecast. */
+/** Measures when shedding starts: bounds on the queue against a forecast. */
 export function measureShedding(deployment: Deployment): Figure[] {
-  const overload = traceOf(deployment, () => OVERLOAD)
-  const bursts = traceOf(deployment, burstLoad)
-  return ways.flatMap(({ way, rule }) => {
-    const measure = `limits.${deployment.name}.shedding.${way}`
-    const run = runRanked(deployment, overload, rule?.())
+  const overload = createQueueTrace(deployment, () => OVERLOAD)
+  const bursts = createQueueTrace(deployment, burstLoad)
+  return rules.flatMap(({ name, createRule }) => {
+    const measure = `limits.${deployment.name}.shedding.${name}`
+    const run = runRanked(deployment, overload, createRule?.())
     return [
       {
         measure: `${measure}.refusal-wait`,
-        value: refusalWaitMs(run),
+        value: meanRejectionWaitMs(run),
         unit: 'ms, mean at twice the load',
       },
       {
         measure: `${measure}.top-rank-wait-p95`,
-        value: topWaitMs(run),
+        value: topRankWaitP95Ms(run),
         unit: 'ms at twice the load',
       },
       {
         measure: `${measure}.served-in-bursts`,
-        value: servedShare(runRanked(deployment, bursts, rule?.())),
+        value: servedShare(runRanked(deployment, bursts, createRule?.())),
         unit: 'share of all requests',
       },
     ]
--- a/packages/measure/src/node/limits/queuePolicy.ts
+++ b/packages/measure/src/node/limits/queuePolicy.ts
@@ -6,63 +6,65 @@
 } from '@auburnbay/core'
 import type { TraceRequest } from './createTrace.js'
 
-/** A queue under measurement. */
+/** Queue under measurement. */
 export interface QueuePolicy {
-  offer(request: TraceRequest): readonly TraceRequest[]
-  take(nowMs: number, running: number): TraceRequest | undefined
+  /** Adds a request; returns the requests shed for it. */
+  enqueue(request: TraceRequest): readonly TraceRequest[]
+  /** Removes the next request to start; undefined if none may start. */
+  dequeue(nowMs: number, running: number): TraceRequest | undefined
   remove(id: string): void
-  /** Tells that a request ran for so long. */
-  ran(runMs: number): void
+  /** Records the run time of a request that ended. */
+  recordRunTime(runMs: number): void
   waiting(): Iterable<TraceRequest>
 }
 
-/** Bounds how many requests may wait at the moment. */
+/** Limits the number of waiting requests. */
 export interface CapacityRule {
   capacity(): number
-  /** Tells that the queue changed. */
-  changed(nowMs: number, size: number): void
-  ran(runMs: number): void
+  /** Records the size of the queue after a change. */
+  recordSize(nowMs: number, size: number): void
+  recordRunTime(runMs: number): void
 }
 
-/** Milliseconds of waiting that improve a rank by one, as the default. */
+/** Milliseconds of waiting that improve a rank by one; the daemon's default. */
 export const AGEING_MS = 10_000
-/** Milliseconds that halve a customer's past service, as the default. */
+/** Half-life of a customer's past service; the daemon's default. */
 export const SHARE_HALF_LIFE_MS = 10_000
 
-/** Allows a fixed number of waiting requests. */
-export function staticRule(maxWaiting: number): CapacityRule {
+/** Creates a rule that allows a fixed number of waiting requests. */
+export function createStaticRule(maxWaiting: number): CapacityRule {
   return {
     capacity: () => maxWaiting,
-    changed: () => undefined,
-    ran: () => undefined,
+    recordSize: () => undefined,
+    recordRunTime: () => undefined,
   }
 }
 
-/** Allows what is worked off within `drainMs`. */
-export function drainRule(
+/** Creates a rule that allows as many requests as drain within `drainMs`. */
+export function createDrainTimeRule(
   concurrency: number,
   drainMs: number,
   maxWaiting: number,
 ): CapacityRule {
-  const time = createMeanRunTime()
+  const meanRunTime = createMeanRunTime()
   return {
     capacity: () =>
       queueCapacity({
         concurrency,
-        meanRunMs: time.meanMs,
+        meanRunMs: meanRunTime.meanMs,
         drainMs,
         maxWaiting,
       }),
-    changed: () => undefined,
-    ran: (runMs) => {
-      time.add(runMs)
+    recordSize: () => undefined,
+    recordRunTime: (runMs) => {
+      meanRunTime.add(runMs)
     },
   }
 }
 
-/** The core's queue, as the daemon uses it. */
-export function rankedPolicy(
-  places: number,
+/** Creates a policy with core's request queue, as the daemon uses it. */
+export function createRankedPolicy(
+  slots: number,
   rule: CapacityRule,
   urgentShare: number,
 ): QueuePolicy {
@@ -71,40 +73,43 @@
     ageingMs: AGEING_MS,
     shareHalfLifeMs: SHARE_HALF_LIFE_MS,
   })
-  const reserved = reservedSlots(places, urgentShare)
+  const reserved = reservedSlots(slots, urgentShare)
   return {
-    ran: (runMs) => {
-      rule.ran(runMs)
+    recordRunTime: (runMs) => {
+      rule.recordRunTime(runMs)
     },
-    offer(request) {
-      rule.changed(request.enqueuedAtMs, queue.size + 1)
+    enqueue(request) {
+      rule.recordSize(request.enqueuedAtMs, queue.size + 1)
       return queue.enqueue(request)
     },
-    take(nowMs, running) {
-      if (running >= places) return undefined
-      const taken =
-        running < places - reserved
+    dequeue(nowMs, running) {
+      if (running >= slots) return undefined
+      const request =
+        running < slots - reserved
           ? queue.dequeue(nowMs)
           : queue.dequeueUrgent(nowMs)
-      rule.changed(nowMs, queue.size)
-      return taken
+      rule.recordSize(nowMs, queue.size)
+      return request
     },
     remove: (id) => queue.remove(id),
     waiting: () => queue.requests(),
   }
 }
 
-/** Baseline: first come, first served; a full queue refuses the newcomer. */
-export function fifoPolicy(places: number, maxWaiting: number): QueuePolicy {
+/** Creates the baseline: a FIFO queue that rejects new requests when full. */
+export function createFifoPolicy(
+  slots: number,
+  maxWaiting: number,
+): QueuePolicy {
   const queue = new Map<string, TraceRequest>()
   return {
-    offer(request) {
+    enqueue(request) {
       if (queue.size >= maxWaiting) return [request]
       queue.set(request.id, request)
       return []
     },
-    take(_nowMs, running) {
-      if (running >= places) return undefined
+    dequeue(_nowMs, running) {
+      if (running >= slots) return undefined
       for (const [id, request] of queue) {
         queue.delete(id)
         return request
@@ -114,7 +119,7 @@
     remove: (id) => {
       queue.delete(id)
     },
-    ran: () => undefined,
+    recordRunTime: () => undefined,
     waiting: () => queue.values(),
   }
 }
--- a/packages/measure/src/node/limits/queueRuns.ts
+++ b/packages/measure/src/node/limits/queueRuns.ts
@@ -1,85 +1,89 @@
-import { createTrace, RANKS, type TraceOptions } from './createTrace.js'
-import { type Deployment, placesOf } from './deployments.js'
+import { createTrace, RANKS, type CreateTraceOptions } from './createTrace.js'
+import { type Deployment, slotsPerRouter } from './deployments.js'
 import {
-  drainRule,
-  fifoPolicy,
-  rankedPolicy,
+  createDrainTimeRule,
+  createFifoPolicy,
+  createRankedPolicy,
   type CapacityRule,
 } from './queuePolicy.js'
-import { Ending, type QueueRun, runQueue } from './runQueue.js'
+import { QueueOutcome, type QueueRun, runQueue } from './runQueue.js'
 import { mean, quantile } from './statistics.js'
 
-/** Longest queue in any case, as the daemon's default. */
+/** Longest queue in requests; the daemon's default. */
 export const MAX_WAITING = 1_024
-/** Longest time to work off a queue, as the daemon's default. */
-export const DRAIN_MS = 2_000
-/** Share of places for rank 0 alone, as the daemon's default. */
+/** Longest time to drain a queue; the daemon's default. */
+export const MAX_DRAIN_MS = 2_000
+/** Share of slots reserved for rank 0; the daemon's default. */
 export const URGENT_SHARE = 0.03
 /** Length of the queue traces. */
 export const LENGTH_MS = 300_000
 
 const SEED = 7
 
-/** Draws the trace of a load that all customers share alike. */
-export function traceOf(
+/** Creates a trace in which every customer has the same relative load. */
+export function createQueueTrace(
   deployment: Deployment,
   load: (atMs: number) => number,
-  options: Partial<TraceOptions> = {},
+  options: Partial<CreateTraceOptions> = {},
 ) {
   return createTrace({
     deployment,
     seed: SEED,
     lengthMs: LENGTH_MS,
     load: (customer, atMs) =>
-      load(atMs) * (deployment.customers[customer] ?? 0),
+      load(atMs) * (deployment.customerShares[customer] ?? 0),
     ...options,
   })
 }
 
-type Trace = ReturnType<typeof traceOf>
+type Trace = ReturnType<typeof createQueueTrace>
 
-/** Runs a trace through the daemon's order with another bound, if given. */
+/** Runs a trace through the daemon's queue; `rule` replaces its capacity rule. */
 export function runRanked(
   deployment: Deployment,
   trace: Trace,
   rule?: CapacityRule,
   urgentShare = URGENT_SHARE,
 ): QueueRun {
-  const places = placesOf(deployment)
-  const bound = rule ?? drainRule(places, DRAIN_MS, MAX_WAITING)
-  return runQueue(trace, rankedPolicy(places, bound, urgentShare))
+  const slots = slotsPerRouter(deployment)
+  const capacityRule =
+    rule ?? createDrainTimeRule(slots, MAX_DRAIN_MS, MAX_WAITING)
+  return runQueue(trace, createRankedPolicy(slots, capacityRule, urgentShare))
 }
 
-/** Runs a trace through the baseline, first come first served. */
+/** Runs a trace through the baseline, a FIFO queue. */
 export function runFifo(deployment: Deployment, trace: Trace): QueueRun {
-  return runQueue(trace, fifoPolicy(placesOf(deployment), MAX_WAITING))
+  return runQueue(
+    trace,
+    createFifoPolicy(slotsPerRouter(deployment), MAX_WAITING),
+  )
 }
 
-/** 95th percentile of the waits of the best rank's served requests. */
-export function topWaitMs(run: QueueRun): number {
+/** Returns the 95th percentile of the waits of served top-rank requests. */
+export function topRankWaitP95Ms(run: QueueRun): number {
   const waits: number[] = []
-  for (const { request, ending, waitMs } of run.results)
-    if (request.rank === RANKS[0] && ending === Ending.Served)
+  for (const { request, outcome, waitMs } of run.results)
+    if (request.rank === RANKS[0] && outcome === QueueOutcome.Served)
       waits.push(waitMs)
   return quantile(waits, 0.95)
 }
 
-/** Share of a rank's requests that were served; of all without a rank. */
+/** Returns the share of requests served, of one rank or of all ranks. */
 export function servedShare(run: QueueRun, rank?: number): number {
-  let all = 0
+  let total = 0
   let served = 0
-  for (const { request, ending } of run.results) {
+  for (const { request, outcome } of run.results) {
     if (rank !== undefined && request.rank !== rank) continue
-    all += 1
-    if (ending === Ending.Served) served += 1
+    total += 1
+    if (outcome === QueueOutcome.Served) served += 1
   }
-  return all === 0 ? 1 : served / all
+  return total === 0 ? 1 : served / total
 }
 
-/** Mean time until a caller was told that its request does not run. */
-export function refusalWaitMs(run: QueueRun): number {
+/** Returns the mean time until a request was shed or expired. */
+export function meanRejectionWaitMs(run: QueueRun): number {
   const waits: number[] = []
-  for (const { ending, waitMs } of run.results)
-    if (ending !== Ending.Served) waits.push(waitMs)
+  for (const { outcome, waitMs } of run.results)
+    if (outcome !== QueueOutcome.Served) waits.push(waitMs)
   return mean(waits)
 }
--- a/packages/measure/src/node/limits/runFleetLimit.ts
+++ b/packages/measure/src/node/limits/runFleetLimit.ts
@@ -1,58 +1,58 @@
 import { fleetAllowance, type FleetLimit } from '@auburnbay/core'
 import { createEventQueue } from '../routing/bench/createEventQueue.js'
 import { createRandom } from '../routing/bench/createRandom.js'
-import type { LimitMeter, MeasuredLimit } from './limitMeter.js'
+import type { UsageMeter, MeasuredLimit } from './measuredLimit.js'
 
-/** How a fleet is driven against one customer's limit. */
-export interface FleetLimitOptions {
+/** Options for {@link runFleetLimit}. */
+export interface RunFleetLimitOptions {
   readonly limit: MeasuredLimit
   readonly routers: number
   /** Arrivals a second over the whole fleet. */
   readonly arrivalsPerS: number
   readonly meanRunMs: number
   readonly lengthMs: number
-  /** Whether two routers hear each other. */
+  /** Whether two routers receive each other's digests. */
   readonly connected: (a: number, b: number, atMs: number) => boolean
-  /** Admits while the router's own use is below. @default fleetAllowance */
+  /** Use below which a router admits requests. @default fleetAllowance */
   readonly allowance?: (state: FleetLimit) => number
 }
 
-/** What a fleet admitted. */
+/** Result of a run. */
 export interface FleetLimitRun {
   readonly arrivals: number
   readonly admitted: number
-  /** Largest use above the limit. */
+  /** Largest excess of the use over the limit. */
   readonly overshoot: number
   /** Admissions above the limit by more than one interval's arrivals. */
   readonly beyondInterval: number
   /** Times of admissions above the limit. */
-  readonly aboveAtMs: readonly number[]
+  readonly overLimitAtMs: readonly number[]
 }
 
-/** Milliseconds between two digests, as the daemon's default. */
-export const DIGEST_MS = 500
+/** Milliseconds between two digests; the daemon's default. */
+export const DIGEST_INTERVAL_MS = 500
 /** Milliseconds after which a digest is stale, as in the daemon. */
-export const STALE_MS = 1.5 * DIGEST_MS
+export const STALE_MS = 1.5 * DIGEST_INTERVAL_MS
 const SEED = 11
 
-interface Heard {
+interface ReceivedUsage {
   readonly used: number
   readonly asked: number
   readonly atMs: number
 }
 
-/** Drives every router's decisions on one seeded trace. */
-export function runFleetLimit(options: FleetLimitOptions): FleetLimitRun {
+/** Runs the admission decisions of all routers on one seeded trace. */
+export function runFleetLimit(options: RunFleetLimitOptions): FleetLimitRun {
   const { limit, routers, lengthMs, connected } = options
-  const allow = options.allowance ?? fleetAllowance
+  const allowance = options.allowance ?? fleetAllowance
   const random = createRandom(SEED)
   const events = createEventQueue()
-  const meters: LimitMeter[] = []
-  const demands: (LimitMeter | undefined)[] = []
-  const heard: Map<number, Heard>[] = []
-  const truth = limit.createTruth()
-  const recent: number[] = []
-  const aboveAtMs: number[] = []
+  const meters: UsageMeter[] = []
+  const demandMeters: (UsageMeter | undefined)[] = []
+  const received: Map<number, ReceivedUsage>[] = []
+  const exactMeter = limit.createExactMeter()
+  const recentArrivalsMs: number[] = []
+  const overLimitAtMs: number[] = []
   let arrivals = 0
   let admitted = 0
   let overshoot = 0
@@ -62,76 +62,79 @@
     const peers = []
     for (let peer = 0; peer < routers; peer += 1) {
       if (peer === router) continue
-      const last = heard[router]?.get(peer)
+      const last = received[router]?.get(peer)
       const ageMs = last ? nowMs - last.atMs : Infinity
       const { used = 0, asked = 0 } = last ?? {}
       peers.push({ router: `router-${peer}`, used, asked, ageMs })
     }
-    const allowed = allow({
+    const allowedUse = allowance({
       limit: limit.limit,
       key: limit.name,
       router: `router-${router}`,
-      asked: demands[router]?.used(nowMs),
+      asked: demandMeters[router]?.used(nowMs),
       peers,
       staleMs: STALE_MS,
       holdMs: limit.holdMs,
     })
-    return (meters[router]?.used(nowMs) ?? 0) < allowed
+    return (meters[router]?.used(nowMs) ?? 0) < allowedUse
   }
 
-  function judge(nowMs: number): void {
-    const above = truth.used(nowMs) - limit.limit
-    if (above <= 0) return
-    while (recent[0] !== undefined && recent[0] <= nowMs - DIGEST_MS)
-      recent.shift()
-    overshoot = Math.max(overshoot, above)
-    aboveAtMs.push(nowMs)
-    if (above > recent.length) beyondInterval += 1
+  function recordOverLimit(nowMs: number): void {
+    const excess = exactMeter.used(nowMs) - limit.limit
+    if (excess <= 0) return
+    while (
+      recentArrivalsMs[0] !== undefined &&
+      recentArrivalsMs[0] <= nowMs - DIGEST_INTERVAL_MS
+    )
+      recentArrivalsMs.shift()
+    overshoot = Math.max(overshoot, excess)
+    overLimitAtMs.push(nowMs)
+    if (excess > recentArrivalsMs.length) beyondInterval += 1
   }
 
   function arrive(router: number, nowMs: number): void {
     arrivals += 1
-    recent.push(nowMs)
-    demands[router]?.add(nowMs)
+    recentArrivalsMs.push(nowMs)
+    demandMeters[router]?.recordAdmission(nowMs)
     if (!mayAdmit(router, nowMs)) return
     admitted += 1
-    meters[router]?.add(nowMs)
-    truth.add(nowMs)
-    judge(nowMs)
+    meters[router]?.recordAdmission(nowMs)
+    exactMeter.recordAdmission(nowMs)
+    recordOverLimit(nowMs)
     events.at(nowMs + random.exponential(options.meanRunMs), () => {
-      meters[router]?.end()
-      truth.end()
+      meters[router]?.recordEnd()
+      exactMeter.recordEnd()
     })
   }
 
-  function digestOf(router: number, nowMs: number): Heard {
+  function createDigest(router: number, nowMs: number): ReceivedUsage {
     const used = meters[router]?.used(nowMs) ?? 0
-    const asked = demands[router]?.used(nowMs) ?? 0
+    const asked = demandMeters[router]?.used(nowMs) ?? 0
     return { used, asked, atMs: nowMs }
   }
 
-  /** A heartbeat carries digests both ways. */
-  function exchange(router: number, nowMs: number): void {
+  /** Exchanges digests with each connected peer; a heartbeat carries them both ways. */
+  function exchangeDigests(router: number, nowMs: number): void {
     for (let peer = 0; peer < routers; peer += 1) {
       if (peer === router || !connected(router, peer, nowMs)) continue
-      heard[router]?.set(peer, digestOf(peer, nowMs))
-      heard[peer]?.set(router, digestOf(router, nowMs))
+      received[router]?.set(peer, createDigest(peer, nowMs))
+      received[peer]?.set(router, createDigest(router, nowMs))
     }
-    exchangeAt(router, nowMs + DIGEST_MS)
+    scheduleExchange(router, nowMs + DIGEST_INTERVAL_MS)
   }
 
-  function exchangeAt(router: number, atMs: number): void {
+  function scheduleExchange(router: number, atMs: number): void {
     if (atMs >= lengthMs) return
     events.at(atMs, () => {
-      exchange(router, atMs)
+      exchangeDigests(router, atMs)
     })
   }
 
   for (let router = 0; router < routers; router += 1) {
     meters.push(limit.createMeter())
-    demands.push(limit.createDemand?.())
-    heard.push(new Map())
-    exchangeAt(router, random.unit() * DIGEST_MS)
+    demandMeters.push(limit.createDemandMeter?.())
+    received.push(new Map())
+    scheduleExchange(router, random.unit() * DIGEST_INTERVAL_MS)
   }
   let atMs = 0
   while (atMs < lengthMs) {
@@ -143,5 +146,5 @@
     })
   }
   events.runUntil(Infinity)
-  return { arrivals, admitted, overshoot, beyondInterval, aboveAtMs }
+  return { arrivals, admitted, overshoot, beyondInterval, overLimitAtMs }
 }
--- a/packages/measure/src/node/limits/runQueue.ts
+++ b/packages/measure/src/node/limits/runQueue.ts
@@ -3,31 +3,31 @@
 import type { TraceRequest } from './createTrace.js'
 import { AGEING_MS, type QueuePolicy } from './queuePolicy.js'
 
-/** How a request of a trace ended. */
-export enum Ending {
+/** Outcome of a queued request. */
+export enum QueueOutcome {
   Served = 'served',
   Shed = 'shed',
   Expired = 'expired',
 }
 
-/** One request and how it ended. */
+/** A request and its outcome. */
 export interface QueueResult {
   readonly request: TraceRequest
-  readonly ending: Ending
-  /** Milliseconds until it started, or until its caller was refused. */
+  readonly outcome: QueueOutcome
+  /** Milliseconds until the request started or was rejected. */
   readonly waitMs: number
 }
 
-/** What a queue did with a trace. */
+/** Results of a trace. */
 export interface QueueRun {
   readonly results: readonly QueueResult[]
-  /** Starts ahead of a waiting request that came first after ageing. */
+  /** Starts ahead of a waiting request with a better rank, also after ageing. */
   readonly inversions: number
-  /** Requests shed though one of a lower rank waited. */
+  /** Requests shed while a request of a worse rank waited. */
   readonly wrongSheds: number
 }
 
-/** Runs a trace against a queue before `places` places. */
+/** Runs a trace against a queue in virtual time. */
 export function runQueue(
   trace: readonly TraceRequest[],
   policy: QueuePolicy,
@@ -39,10 +39,14 @@
   let inversions = 0
   let wrongSheds = 0
 
-  function end(request: TraceRequest, ending: Ending, nowMs: number): void {
+  function recordOutcome(
+    request: TraceRequest,
+    outcome: QueueOutcome,
+    nowMs: number,
+  ): void {
     waiting.delete(request)
     const waitMs = nowMs - request.enqueuedAtMs
-    results.push({ request, ending, waitMs })
+    results.push({ request, outcome, waitMs })
   }
 
   function isInverted(started: TraceRequest, nowMs: number): boolean {
@@ -56,17 +60,17 @@
     return false
   }
 
-  function startAll(nowMs: number): void {
+  function startWaiting(nowMs: number): void {
     for (;;) {
-      const next = policy.take(nowMs, running)
+      const next = policy.dequeue(nowMs, running)
       if (!next) return
-      end(next, Ending.Served, nowMs)
+      recordOutcome(next, QueueOutcome.Served, nowMs)
       if (isInverted(next, nowMs)) inversions += 1
       running += 1
       events.at(nowMs + next.runMs, () => {
         running -= 1
-        policy.ran(next.runMs)
-        startAll(events.nowMs)
+        policy.recordRunTime(next.runMs)
+        startWaiting(events.nowMs)
       })
     }
   }
@@ -74,13 +78,13 @@
   function expire(request: TraceRequest, nowMs: number): void {
     if (!waiting.has(request)) return
     policy.remove(request.id)
-    end(request, Ending.Expired, nowMs)
+    recordOutcome(request, QueueOutcome.Expired, nowMs)
   }
 
   function arrive(request: TraceRequest, nowMs: number): void {
     waiting.add(request)
-    for (const shed of policy.offer(request)) {
-      end(shed, Ending.Shed, nowMs)
+    for (const shed of policy.enqueue(request)) {
+      recordOutcome(shed, QueueOutcome.Shed, nowMs)
       for (const other of waiting)
         if (other.rank > shed.rank) {
           wrongSheds += 1
@@ -90,14 +94,14 @@
     if (waiting.has(request))
       events.at(request.deadlineAtMs, () => {
         expire(request, request.deadlineAtMs)
-        startAll(request.deadlineAtMs)
+        startWaiting(request.deadlineAtMs)
       })
   }
 
   for (const request of trace)
     events.at(request.enqueuedAtMs, () => {
       arrive(request, request.enqueuedAtMs)
-      startAll(request.enqueuedAtMs)
+      startWaiting(request.enqueuedAtMs)
     })
   events.runUntil(Infinity)
   return { results, inversions, wrongSheds }
--- a/packages/measure/src/node/limits/runRetries.ts
+++ b/packages/measure/src/node/limits/runRetries.ts
@@ -9,33 +9,33 @@
 } from '@auburnbay/core'
 import { createRandom, type Random } from '../routing/bench/createRandom.js'
 
-/** How a service that is half down is driven. */
-export interface RetryOptions {
+/** Options for {@link runRetries}. */
+export interface RunRetriesOptions {
   readonly targets: number
   readonly requests: number
-  /** Whether retries come out of a budget and ask what may have run. */
+  /** Whether a retry needs budget and a request that is safe to repeat. */
   readonly budgeted: boolean
   /** Whether failing targets are ejected. */
   readonly ejecting: boolean
 }
 
-/** What a router sent. */
+/** Requests and retries of a run. */
 export interface RetryRun {
-  readonly firstTries: number
+  readonly firstAttempts: number
   readonly retries: number
-  /** Repeats of requests that may have run and are not idempotent. */
+  /** Retries of requests that may have run and are not idempotent. */
   readonly unsafeRetries: number
   /** Requests that reached a working target. */
   readonly answered: number
-  /** Tries that went to targets that are down. */
-  readonly wasted: number
-  /** Largest part of the targets ejected at a time. */
+  /** Attempts at targets that are down. */
+  readonly wastedAttempts: number
+  /** Largest share of targets ejected at one time. */
   readonly ejectedShare: number
 }
 
-/** Retries for each first try, as the daemon's default. */
+/** Retries for each first attempt; the daemon's default. */
 export const RETRY_RATIO = 0.2
-/** Largest part of a service's targets ejected, as the daemon's default. */
+/** Largest share of a service's targets ejected; the daemon's default. */
 export const MAX_EJECTED_SHARE = 0.5
 
 const BUDGET = { ratio: RETRY_RATIO, burst: 20, reserve: 10 }
@@ -47,9 +47,9 @@
   maxHoldMs: 60_000,
   maxEjectedShare: MAX_EJECTED_SHARE,
 }
-const MAX_TRIES = 3
+const MAX_ATTEMPTS = 3
 const SEED = 13
-const REQUEST_EVERY_MS = 50
+const REQUEST_INTERVAL_MS = 50
 const IDEMPOTENT_SHARE = 0.7
 /** Share of failures in which the target may have run the request. */
 const MAY_HAVE_RUN_SHARE = 0.5
@@ -60,8 +60,8 @@
     : Verdict.NotRun
 }
 
-/** Sends a seeded trace to a service whose every second target is down. */
-export function runRetries(options: RetryOptions): RetryRun {
+/** Sends seeded requests to a service with every second target down. */
+export function runRetries(options: RunRetriesOptions): RetryRun {
   const random = createRandom(SEED)
   const budget = createRetryBudget(BUDGET)
   const health = createServiceHealth(HEALTH)
@@ -71,12 +71,12 @@
     down: index % 2 === 1,
   }))
   health.setTargets(targets.map(({ id }) => id))
-  const counts = { firstTries: 0, retries: 0, unsafeRetries: 0 }
+  const counts = { firstAttempts: 0, retries: 0, unsafeRetries: 0 }
   let answered = 0
-  let wasted = 0
+  let wastedAttempts = 0
   let ejectedShare = 0
 
-  function noteEjected(nowMs: number): void {
+  function recordEjectedShare(nowMs: number): void {
     const ejected = targets.filter(
       ({ id }) => health.circuit(id, nowMs) !== CircuitState.Closed,
     )
@@ -84,14 +84,14 @@
   }
 
   function send(index: number): void {
-    const nowMs = index * REQUEST_EVERY_MS
+    const nowMs = index * REQUEST_INTERVAL_MS
     const idempotent = random.unit() < IDEMPOTENT_SHARE
     const order = rendezvousOrder(`chat-${index}`, targets)
     const tried = new Set<string>()
-    counts.firstTries += 1
+    counts.firstAttempts += 1
     budget.recordFirstAttempt()
     let mayHaveRun = false
-    for (let tries = 1; tries <= MAX_TRIES; tries += 1) {
+    for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
       const target = order.find(
         ({ id }) =>
           !tried.has(id) &&
@@ -99,20 +99,20 @@
       )
       if (!target) return
       tried.add(target.id)
-      if (tries > 1 && mayHaveRun && !idempotent) counts.unsafeRetries += 1
+      if (attempt > 1 && mayHaveRun && !idempotent) counts.unsafeRetries += 1
       const isProbe = health.recordStart(target.id, nowMs)
       const { Success, Failure } = TargetOutcome
       const outcome = target.down ? Failure : Success
       health.recordOutcome(target.id, outcome, nowMs, isProbe)
-      noteEjected(nowMs)
+      recordEjectedShare(nowMs)
       if (!target.down) {
         answered += 1
         return
       }
-      wasted += 1
+      wastedAttempts += 1
       const verdict = drawVerdict(random)
       mayHaveRun ||= verdict === Verdict.MayHaveRun
-      if (tries === MAX_TRIES) return
+      if (attempt === MAX_ATTEMPTS) return
       if (options.budgeted) {
         if (!mayRetry({ verdict, idempotent, abandoned: false })) return
         if (!budget.consumeRetry()) return
@@ -122,5 +122,5 @@
   }
 
   for (let index = 0; index < options.requests; index += 1) send(index)
-  return { ...counts, answered, wasted, ejectedShare }
+  return { ...counts, answered, wastedAttempts, ejectedShare }
 }
