--- a/packages/measure/src/node/placing/constants.ts
+++ b/packages/measure/src/node/placing/constants.ts
@@ -1,9 +1,10 @@
-/** Bytes a second that all control traffic of a router may take. */
-export const CONTROL_BYTES_PER_S = 27_000
-/** Times the mean load, and requests above it, that a target may hold. */
+/** Bytes a second that a router's control traffic may use. */
+export const MAX_CONTROL_BYTES_PER_S = 27_000
+/** Multiple of the mean load that a target may have in flight. */
 export const LOAD_FACTOR = 2
+/** Requests that a target may have in flight beyond that. */
 export const LOAD_MARGIN = 3
-/** Part of placements that may be above the bound. */
-export const MAX_OVER_SHARE = 0.03
-/** Part of the prompt reuse of routers that know of each other at once. */
-export const REUSE_OF_ALL_KNOWING = 0.95
+/** Share of requests that may be sent to a target above the load bound. */
+export const MAX_OVER_BOUND_SHARE = 0.03
+/** Lowest prompt reuse, relative to routers that share their state instantly. */
+export const MIN_REUSE_RATIO = 0.95
--- a/packages/measure/src/node/placing/measureDigests.ts
+++ b/packages/measure/src/node/placing/measureDigests.ts
@@ -3,21 +3,21 @@
 import { encodeDigest } from '@auburnbay/router/peers/peerDigest'
 import type { TargetLoad } from '@auburnbay/router/routing/targetLoad'
 import type { Figure } from '../figure.js'
-import { CONTROL_BYTES_PER_S } from './constants.js'
+import { MAX_CONTROL_BYTES_PER_S } from './constants.js'
 
 const MS_PER_S = 1_000
-/** Bytes of the headers of a datagram: IPv4 and UDP. */
+/** IPv4 and UDP headers of a datagram. */
 const HEADER_BYTES = 28
-/** Prompts that a router places between two digests. */
-const PLACED = 4
+/** Cache locations that a router adds between two digests. */
+const NEW_LOCATIONS = 4
 
 function digestBytes(targets: number): number {
   const ids = Array.from({ length: targets }, (_, i) => `i-00000000${i}`)
-  const work = new Map<string, TargetLoad>()
+  const loads = new Map<string, TargetLoad>()
   for (const [i, id] of ids.entries())
-    if (i % 2 === 0) work.set(id, { requests: 3, pendingPromptTokens: 1_300 })
-  const placements = ids
-    .slice(0, PLACED)
+    if (i % 2 === 0) loads.set(id, { requests: 3, pendingPromptTokens: 1_300 })
+  const locations = ids
+    .slice(0, NEW_LOCATIONS)
     .map((id, i) => [`5c1e07a${i}`, id] as const)
   const digest = encodeDigest({
     router: 'frontend-data-centre-1',
@@ -30,23 +30,23 @@
     targetsReadMs: 100,
     targetsAgeMs: 100,
     stopping: false,
-    ...encodeLoad(ids, work, placements),
+    ...encodeLoad(ids, loads, locations),
   })
   return digest.length + HEADER_BYTES
 }
 
 function measureFleet(routers: number, targets: number): Figure {
-  const told = Math.min(DIGEST_FANOUT, routers - 1)
+  const fanout = Math.min(DIGEST_FANOUT, routers - 1)
   const bytes = digestBytes(targets)
   return {
     measure: `placing.digests-${routers}-routers`,
-    value: (bytes * told * MS_PER_S) / DIGEST_INTERVAL_MS,
+    value: (bytes * fanout * MS_PER_S) / DIGEST_INTERVAL_MS,
     unit: `bytes/s sent by each router, ${targets} targets, with headers`,
-    bound: CONTROL_BYTES_PER_S,
+    bound: MAX_CONTROL_BYTES_PER_S,
   }
 }
 
-/** Bytes of digests, today and once the fleets have grown. */
+/** Measures the bytes of digests at the current and the planned fleet sizes. */
 export function measureDigests(): Figure[] {
   return [measureFleet(7, 16), measureFleet(9, 10), measureFleet(60, 67)]
 }
--- a/packages/measure/src/node/placing/simulatePlacing.ts
+++ b/packages/measure/src/node/placing/simulatePlacing.ts
@@ -3,31 +3,47 @@
   DIGEST_FANOUT,
   MAX_LOST_DIGESTS,
 } from '@auburnbay/router/constants'
-import { createPendingUpdates } from '@auburnbay/router/peers/createPendingUpdates'
+import {
+  createPendingUpdates,
+  type PendingUpdates,
+} from '@auburnbay/router/peers/createPendingUpdates'
 import { selectTarget } from '@auburnbay/router/routing/selectTarget'
-import { createFleetLoad } from '@auburnbay/router/routing/createFleetLoad'
-import { createCacheLocations } from '@auburnbay/router/routing/createCacheLocations'
+import {
+  createFleetLoad,
+  type FleetLoad,
+} from '@auburnbay/router/routing/createFleetLoad'
+import {
+  createCacheLocations,
+  type CacheLocations,
+} from '@auburnbay/router/routing/createCacheLocations'
 import type { Target } from '@auburnbay/router/targets/target'
 import { createEventQueue } from '../routing/bench/createEventQueue.js'
 import { createRandom } from '../routing/bench/createRandom.js'
 import { LOAD_FACTOR, LOAD_MARGIN } from './constants.js'
 import type { PlacingTrace } from './placingTrace.js'
-import { PlacingWay, type RouterMemory } from './placingWay.js'
+import { StateSharing } from './stateSharing.js'
 
 const LENGTH_MS = 60_000
 const JOIN_AT_MS = 20_000
-const LEAVE_AT_MS = 35_000
-const LEAVE_GAP_MS = 3_000
-const LOST_DIGESTS = 0.025
+const REPLACE_FROM_MS = 35_000
+const REPLACE_INTERVAL_MS = 3_000
+const DIGEST_LOSS_RATE = 0.025
 const MAX_PROMPTS = 10_000
 
-/** What came of a trace. */
+interface RoutingState {
+  readonly load: FleetLoad
+  readonly cacheLocations: CacheLocations
+  /** Cache locations that not all peers have received yet. */
+  readonly pendingUpdates: PendingUpdates
+}
+
+/** Result of a simulation. */
 export interface PlacingResult {
   readonly requests: number
-  /** Requests whose prompt the target had read before. */
-  readonly reused: number
-  /** Requests placed on a target above the bound on load. */
-  readonly over: number
+  /** Requests whose prompt the target had cached. */
+  readonly cacheHits: number
+  /** Requests sent to a target above the load bound. */
+  readonly overBound: number
 }
 
 function createTarget(number: number): Target {
@@ -41,39 +57,40 @@
   }
 }
 
-/** Digests until a router has told every peer once. */
-const tellingsOf = ({ routers }: PlacingTrace): number =>
+/** Returns the number of digests that a router needs to reach every peer once. */
+const digestRoundsToAllPeers = ({ routers }: PlacingTrace): number =>
   Math.ceil((routers - 1) / DIGEST_FANOUT)
 
-function createMemory(trace: PlacingTrace): RouterMemory {
-  const placements = createCacheLocations(MAX_PROMPTS)
-  const staleMs = MAX_LOST_DIGESTS * DIGEST_INTERVAL_MS * tellingsOf(trace)
+function createRoutingState(trace: PlacingTrace): RoutingState {
+  const cacheLocations = createCacheLocations(MAX_PROMPTS)
+  const staleMs =
+    MAX_LOST_DIGESTS * DIGEST_INTERVAL_MS * digestRoundsToAllPeers(trace)
   return {
     load: createFleetLoad(() => staleMs),
-    placements,
-    news: createPendingUpdates(() => placements.takeUpdates()),
+    cacheLocations,
+    pendingUpdates: createPendingUpdates(() => cacheLocations.takeUpdates()),
   }
 }
 
-/** Plays a trace; the same seed gives the same requests in every way. */
+/** Simulates a trace; the same seed gives the same requests for each kind of sharing. */
 export function simulatePlacing(
   trace: PlacingTrace,
-  way: PlacingWay,
+  sharing: StateSharing,
   seed: number,
 ): PlacingResult {
   const random = createRandom(seed)
-  const lost = createRandom(seed + 1)
+  const lossRandom = createRandom(seed + 1)
   const queue = createEventQueue()
-  const shared = createMemory(trace)
-  const memories = Array.from({ length: trace.routers }, () =>
-    way === PlacingWay.AllKnowing ? shared : createMemory(trace),
+  const shared = createRoutingState(trace)
+  const states = Array.from({ length: trace.routers }, () =>
+    sharing === StateSharing.Instant ? shared : createRoutingState(trace),
   )
   let targets = Array.from({ length: trace.targets }, (_, i) => createTarget(i))
   const inFlight = new Map<string, number>()
-  const read = new Set<string>()
-  const result = { requests: 0, reused: 0, over: 0 }
+  const cachedPrompts = new Set<string>()
+  const result = { requests: 0, cacheHits: 0, overBound: 0 }
 
-  function isOver(id: string): boolean {
+  function isOverBound(id: string): boolean {
     let total = 0
     for (const target of targets) total += inFlight.get(target.id) ?? 0
     const mean = total / targets.length
@@ -81,30 +98,30 @@
   }
 
   function arrive(): void {
-    const memory = memories[random.below(trace.routers)]
+    const state = states[random.below(trace.routers)]
     const key = `prompt-${random.below(trace.prompts)}`
     const durationMs = random.exponential(trace.requestMs)
-    if (!memory) return
-    const { load, placements } = memory
+    if (!state) return
+    const { load, cacheLocations } = state
     const target = selectTarget({
       targets,
       load: (id) => load.total(id, queue.nowMs),
       affinity: key,
       promptTokens: trace.promptTokens,
-      cachedOn: placements.cachedOn(key),
+      cachedOn: cacheLocations.cachedOn(key),
       tieBreaker: String(result.requests),
     })
     if (!target) return
     const { id } = target
-    const cached = `${key} ${id}`
+    const cacheEntry = `${key} ${id}`
     result.requests += 1
-    if (read.has(cached)) result.reused += 1
-    const tokens = read.has(cached) ? 0 : trace.promptTokens
-    read.add(cached)
+    if (cachedPrompts.has(cacheEntry)) result.cacheHits += 1
+    const tokens = cachedPrompts.has(cacheEntry) ? 0 : trace.promptTokens
+    cachedPrompts.add(cacheEntry)
     inFlight.set(id, (inFlight.get(id) ?? 0) + 1)
-    if (isOver(id)) result.over += 1
+    if (isOverBound(id)) result.overBound += 1
     load.recordStart(id, tokens)
-    placements.add(key, id)
+    cacheLocations.add(key, id)
     queue.at(queue.nowMs + durationMs, () => {
       inFlight.set(id, (inFlight.get(id) ?? 0) - 1)
       load.releasePromptTokens(id, tokens)
@@ -112,44 +129,48 @@
     })
   }
 
-  let turn = 0
+  let round = 0
 
   /** Returns the peers that the next digest of a router goes to. */
-  function peersInTurn(from: number): number[] {
-    const peers = memories.map((_, to) => to).filter((to) => to !== from)
-    const first = (turn * DIGEST_FANOUT) % peers.length
-    const most = Math.min(DIGEST_FANOUT, peers.length)
-    return [...peers, ...peers].slice(first, first + most)
+  function nextDigestPeers(from: number): number[] {
+    const peers = states.map((_, to) => to).filter((to) => to !== from)
+    const first = (round * DIGEST_FANOUT) % peers.length
+    const count = Math.min(DIGEST_FANOUT, peers.length)
+    return [...peers, ...peers].slice(first, first + count)
   }
 
-  function tell(): void {
-    for (const [from, memory] of memories.entries()) {
-      const news = memory.news.next(tellingsOf(trace))
-      const work = new Map(memory.load.own())
-      for (const to of peersInTurn(from)) {
-        if (lost.unit() < LOST_DIGESTS) continue
-        memories[to]?.placements.merge(news)
-        memories[to]?.load.updatePeer(`router-${from}`, work, queue.nowMs)
+  function broadcastDigests(): void {
+    for (const [from, state] of states.entries()) {
+      const updates = state.pendingUpdates.next(digestRoundsToAllPeers(trace))
+      const ownLoad = new Map(state.load.own())
+      for (const to of nextDigestPeers(from)) {
+        if (lossRandom.unit() < DIGEST_LOSS_RATE) continue
+        states[to]?.cacheLocations.merge(updates)
+        states[to]?.load.updatePeer(`router-${from}`, ownLoad, queue.nowMs)
       }
     }
-    turn += 1
+    round += 1
   }
 
-  function every(gapMs: () => number, run: () => void): void {
-    queue.at(queue.nowMs + gapMs(), () => {
+  function scheduleRepeatedly(intervalMs: () => number, run: () => void): void {
+    queue.at(queue.nowMs + intervalMs(), () => {
       run()
-      every(gapMs, run)
+      scheduleRepeatedly(intervalMs, run)
     })
   }
 
-  every(() => random.exponential(1_000 / trace.requestsPerS), arrive)
-  if (way === PlacingWay.Digests) every(() => DIGEST_INTERVAL_MS, tell)
+  scheduleRepeatedly(
+    () => random.exponential(1_000 / trace.requestsPerS),
+    arrive,
+  )
+  if (sharing === StateSharing.Digests)
+    scheduleRepeatedly(() => DIGEST_INTERVAL_MS, broadcastDigests)
   queue.at(JOIN_AT_MS, () => {
     for (let i = 0; i < trace.joining; i += 1)
       targets = [...targets, createTarget(100 + i)]
   })
-  for (let i = 0; i < trace.leaving; i += 1)
-    queue.at(LEAVE_AT_MS + i * LEAVE_GAP_MS, () => {
+  for (let i = 0; i < trace.replaced; i += 1)
+    queue.at(REPLACE_FROM_MS + i * REPLACE_INTERVAL_MS, () => {
       targets = [...targets.slice(1), createTarget(200 + i)]
     })
   queue.runUntil(LENGTH_MS)
