--- a/packages/measure/src/node/measureGroups.ts
+++ b/packages/measure/src/node/measureGroups.ts
@@ -7,7 +7,7 @@
 import { stateMeasures } from './state/stateMeasures.js'
 import { stoppingMeasures } from './stopping/stoppingMeasures.js'
 
-/** Every group, in the order in which they run. */
+/** All groups, in the order in which they run. */
 export const measureGroups: readonly MeasureGroup[] = [
   routingMeasures,
   placingMeasures,
