--- a/packages/measure/src/node/once/__tests__/once.test.ts
+++ b/packages/measure/src/node/once/__tests__/once.test.ts
@@ -5,13 +5,13 @@
 const SCHEDULES = 150
 const SEED = 504
 
-describe('what callers are told under generated faults', () => {
-  it('is never contradicted by what ran', async () => {
+describe('responses under generated fault schedules', () => {
+  it('never contradict what the targets ran', async () => {
     const { outcomes, contradictions } = await runSchedules({
       count: SCHEDULES,
       seed: SEED,
-      part: 0,
-      of: 1,
+      partition: 0,
+      partitions: 1,
     })
     assert.deepEqual(contradictions, [])
     assert.ok(outcomes.some(({ verdict }) => verdict === 'not-run'))
--- a/packages/measure/src/node/once/callOutcome.ts
+++ b/packages/measure/src/node/once/callOutcome.ts
@@ -1,15 +1,15 @@
 import type { CallKind } from './schedule.js'
 
-/** What one caller was told. */
+/** Response that one caller observed. */
 export interface CallOutcome {
   readonly kind: CallKind
-  /** Names this call alone. */
+  /** Identifies this call. */
   readonly marker: string
   readonly idempotencyKey?: string
-  /** 0 where no answer came. */
+  /** HTTP status; 0 when no response arrived. */
   readonly status: number
   readonly verdict?: string
   readonly text: string
-  /** Whether the answer ended cleanly. */
-  readonly whole: boolean
+  /** Whether the body was received to its end. */
+  readonly complete: boolean
 }
--- a/packages/measure/src/node/once/createTrial.ts
+++ b/packages/measure/src/node/once/createTrial.ts
@@ -10,11 +10,11 @@
 } from '@auburnbay/stand-ins'
 import type { CallOutcome } from './callOutcome.js'
 import {
-  createRouter,
+  createTrialRouter,
   type TrialRouter,
   type TrialTarget,
   trialServices,
-} from './createRouter.js'
+} from './createTrialRouter.js'
 import { type Contradiction, findContradictions } from './findContradictions.js'
 import {
   CallKind,
@@ -24,24 +24,24 @@
 } from './schedule.js'
 import { sendCall } from './sendCall.js'
 
-/** Two routers before stand-ins, used for one schedule after another. */
+/** Two routers in front of stand-ins; runs schedules one after another. */
 export interface Trial {
   run(schedule: Schedule): Promise<void>
-  /** Ends it and holds what was told against what ran. */
+  /** Stops the trial and compares the outcomes with the targets' records. */
   finish(): Promise<TrialResult>
 }
 
-/** What a trial's callers were told and what speaks against it. */
+/** Outcomes that a trial's callers observed and the contradictions in them. */
 export interface TrialResult {
   readonly outcomes: readonly CallOutcome[]
   readonly contradictions: readonly Contradiction[]
 }
 
-/** Longer than every limit of a trial's routers together. */
-const PAUSE_MS = 200
-const STOP_AFTER_MS = 12
-const SLOW_LOG_MS = 60
-/** Milliseconds in which a request that was given up may still arrive. */
+/** Longer than all timeouts of a trial's routers together. */
+const ROUTER_PAUSE_MS = 200
+const STOP_DELAY_MS = 12
+const SLOW_LOG_DELAY_MS = 60
+/** Time in which an abandoned request may still reach its target. */
 const SETTLE_MS = 100
 
 const key = createCallerKey('corrib', 'trial')
@@ -54,17 +54,20 @@
   faults.outage = fault === LogFault.Outage
   faults.silent = fault === LogFault.Silent
   faults.loseReplies = fault === LogFault.LosesReplies ? 2 : 0
-  faults.delayMs = fault === LogFault.Slow ? SLOW_LOG_MS : 0
+  faults.delayMs = fault === LogFault.Slow ? SLOW_LOG_DELAY_MS : 0
 }
 
-function named(prefix: string, standIns: readonly StandIn[]): TrialTarget[] {
+function toTargets(
+  prefix: string,
+  standIns: readonly StandIn[],
+): TrialTarget[] {
   return standIns.map(({ address }, index) => ({
     id: `${prefix}-${index + 1}`,
     address: formatAddress(address),
   }))
 }
 
-/** Starts a trial; `name` keeps its calls apart from other trials'. */
+/** Starts a trial. `name` makes the markers and keys of its calls unique. */
 export async function createTrial(name: string): Promise<Trial> {
   const log = await createLogService()
   const engines = [
@@ -73,16 +76,16 @@
   ]
   const plain = [await createPlainService(), await createPlainService()]
   const targets = {
-    briefing: named('engine', engines),
-    charts: named('charts', plain),
+    briefing: toTargets('engine', engines),
+    charts: toTargets('charts', plain),
   }
   const outcomes: CallOutcome[] = []
-  const stops: Promise<void>[] = []
-  let schedules = 0
+  const stopping: Promise<void>[] = []
+  let schedulesRun = 0
 
   function startRouter(index: number): Promise<TrialRouter> {
     const id = `router-${index}`
-    return createRouter({ id, logUrl: log.url, configuration, targets })
+    return createTrialRouter({ id, logUrl: log.url, configuration, targets })
   }
 
   const routers = [await startRouter(0), await startRouter(1)]
@@ -90,7 +93,7 @@
   async function replaceRouter(index: number): Promise<void> {
     const old = routers[index]
     routers[index] = await startRouter(index)
-    if (old) stops.push(old.stop())
+    if (old) stopping.push(old.stop())
   }
 
   function applyFaults(schedule: Schedule): void {
@@ -98,17 +101,21 @@
       engine.queuedFaults.splice(
         0,
         Infinity,
-        ...(schedule.engines[index] ?? []),
+        ...(schedule.engineFaults[index] ?? []),
       )
     for (const [index, service] of plain.entries())
-      service.queuedFaults.splice(0, Infinity, ...(schedule.plain[index] ?? []))
+      service.queuedFaults.splice(
+        0,
+        Infinity,
+        ...(schedule.plainFaults[index] ?? []),
+      )
     for (const [index, router] of routers.entries()) {
-      router.refusedFirst = schedule.refusedFirst
-      router.pauseMs = schedule.pausedRouter === index ? PAUSE_MS : 0
+      router.firstTargetRefuses = schedule.firstTargetRefuses
+      router.pauseMs = schedule.pausedRouter === index ? ROUTER_PAUSE_MS : 0
     }
-    if (schedule.keptGoSilent)
+    if (schedule.keepAliveStalls)
       for (const standIn of [...engines, ...plain]) standIn.stallConnections()
-    applyLogFault(log, schedule.log)
+    applyLogFault(log, schedule.logFault)
   }
 
   function send(
@@ -121,45 +128,47 @@
       url: routers[call.router]?.url ?? '',
       callerKey: key.text,
       marker: `${name}.${suffix}`,
-      idempotencyKey: `${nowMs}.${name}.${schedules}.${call.key}`,
+      idempotencyKey: `${nowMs}.${name}.${schedulesRun}.${call.key}`,
     })
   }
 
-  /** Repeats keyed calls without an answer through the other router. */
-  async function repeat(
+  /** Repeats keyed calls that got no 200 response through the other router. */
+  async function repeatKeyedCalls(
     schedule: Schedule,
     first: readonly CallOutcome[],
     nowMs: number,
   ): Promise<CallOutcome[]> {
-    const again: Promise<CallOutcome>[] = []
+    const repeats: Promise<CallOutcome>[] = []
     for (const [index, call] of schedule.calls.entries()) {
       if (call.kind !== CallKind.KeyedCall || first[index]?.status === 200)
         continue
-      const other = { ...call, router: call.router === 0 ? 1 : 0 } as const
-      const patient = { kind: other.kind, router: other.router, key: call.key }
-      const suffix = `${schedules}.${index}.again`
-      again.push(send({ ...patient, startAfterMs: 0 }, suffix, nowMs))
+      const router = call.router === 0 ? 1 : 0
+      // Without the first call's abort and deadline.
+      const { kind, key } = call
+      const repeated: ScheduledCall = { kind, router, key, startAfterMs: 0 }
+      const suffix = `${schedulesRun}.${index}.again`
+      repeats.push(send(repeated, suffix, nowMs))
     }
-    return Promise.all(again)
+    return Promise.all(repeats)
   }
 
   async function run(schedule: Schedule): Promise<void> {
-    schedules += 1
+    schedulesRun += 1
     applyFaults(schedule)
     const nowMs = Date.now()
     const sent = schedule.calls.map((call, index) =>
-      send(call, `${schedules}.${index}`, nowMs),
+      send(call, `${schedulesRun}.${index}`, nowMs),
     )
     const { stoppedRouter } = schedule
     if (stoppedRouter !== undefined) {
-      await sleep(STOP_AFTER_MS)
+      await sleep(STOP_DELAY_MS)
       await replaceRouter(stoppedRouter)
     }
     const first = await Promise.all(sent)
     applyLogFault(log, LogFault.None)
-    outcomes.push(...first, ...(await repeat(schedule, first, nowMs)))
-    // A call that the log never answered holds a router's next appends up.
-    if (schedule.log === LogFault.Silent) {
+    outcomes.push(...first, ...(await repeatKeyedCalls(schedule, first, nowMs)))
+    // An append that a silent log never answers blocks the router's later appends.
+    if (schedule.logFault === LogFault.Silent) {
       await replaceRouter(0)
       await replaceRouter(1)
     }
@@ -174,9 +183,11 @@
         calls: plain.flatMap((service) => service.calls),
       }
       const contradictions = findContradictions(record, outcomes)
-      stops.push(...routers.map((router) => router.stop()))
-      await Promise.all([log, ...engines, ...plain].map((one) => one.close()))
-      await Promise.all(stops)
+      stopping.push(...routers.map((router) => router.stop()))
+      await Promise.all(
+        [log, ...engines, ...plain].map((standIn) => standIn.close()),
+      )
+      await Promise.all(stopping)
       return { outcomes, contradictions }
     },
   }
--- a/packages/measure/src/node/once/createRouter.ts
+++ b/packages/measure/src/node/once/createTrialRouter.ts
@@ -22,24 +22,24 @@
 import { formatAddress } from '@auburnbay/http-utils'
 import { err, ok } from 'neverthrow'
 
-/** A target as the routers of a trial choose it. */
+/** A target that a trial's routers can select. */
 export interface TrialTarget {
   readonly id: string
   readonly address: string
 }
 
-/** A router of the real parts, without membership and load bound. */
+/** A router of the daemon's own parts, without membership and load bounds. */
 export interface TrialRouter {
   readonly url: string
-  /** Milliseconds that it halts between claiming and sending. */
+  /** Pause between claiming and sending a request, in milliseconds. */
   pauseMs: number
-  /** Whether the first target tried refuses connections. */
-  refusedFirst: boolean
-  /** Stops as on SIGTERM, with no time for requests in flight. */
+  /** Whether the first target of each request refuses connections. */
+  firstTargetRefuses: boolean
+  /** Stops as on SIGTERM, without waiting for requests in flight. */
   stop(): Promise<void>
 }
 
-/** What a trial's router works with. */
+/** Options for {@link createTrialRouter}. */
 export interface TrialRouterOptions {
   readonly id: string
   readonly logUrl: string
@@ -47,10 +47,10 @@
   readonly targets: Readonly<Record<string, readonly TrialTarget[]>>
 }
 
-/** Nobody listens on this port. */
-const REFUSING: TrialTarget = { id: 'refusing', address: '127.0.0.1:1' }
+/** No process listens on this port. */
+const REFUSING_TARGET: TrialTarget = { id: 'refusing', address: '127.0.0.1:1' }
 
-/** Resolves settings with every default, but for what `extra` says. */
+/** Resolves default settings with the overrides in `extra`. */
 export function resolveTrialSettings(
   id: string,
   logUrl = 'http://127.0.0.1:1',
@@ -70,8 +70,8 @@
   return resolved._unsafeUnwrap()
 }
 
-/** Short limits, so that each failure shows soon. */
-const SHORT_LIMITS: Partial<Settings> = {
+/** Short timeouts that make every failure show up quickly. */
+const SHORT_TIMEOUTS: Partial<Settings> = {
   targets: {
     connectTimeoutMs: 200,
     firstByteTimeoutMs: 40,
@@ -81,17 +81,17 @@
   claims: { batchMs: 1, decideTimeoutMs: 100 },
 }
 
-/** Starts a router of a trial. */
-export async function createRouter(
+/** Starts a router for a trial. */
+export async function createTrialRouter(
   options: TrialRouterOptions,
 ): Promise<TrialRouter> {
   const { id, logUrl } = options
-  const settings = resolveTrialSettings(id, logUrl, SHORT_LIMITS)
+  const settings = resolveTrialSettings(id, logUrl, SHORT_TIMEOUTS)
   const logs = createLogs(settings.logs)
   const metrics = createMetrics(settings)
   const tracing = createTracing(settings)
   const targets = createTargetClient(settings.targets)
-  let placed = 0
+  let selections = 0
   const claims = createClaims({
     settings: settings.claims,
     log: createLogClient(settings.logService.url),
@@ -105,15 +105,15 @@
       exclude: ReadonlySet<string>,
     ) => {
       if (trial.pauseMs > 0) await sleep(trial.pauseMs)
-      const known = options.targets[request.service] ?? []
-      placed += 1
-      const first = known[placed % known.length]
-      const order = [
-        ...(trial.refusedFirst ? [REFUSING] : []),
+      const available = options.targets[request.service] ?? []
+      selections += 1
+      const first = available[selections % available.length]
+      const candidates = [
+        ...(trial.firstTargetRefuses ? [REFUSING_TARGET] : []),
         ...(first ? [first] : []),
-        ...known,
+        ...available,
       ]
-      const target = order.find(({ id }) => !exclude.has(id))
+      const target = candidates.find(({ id }) => !exclude.has(id))
       if (target) return ok({ target, release: () => undefined })
       return err({
         code: FailureCode.NoTarget,
@@ -146,7 +146,7 @@
   const trial: TrialRouter = {
     url: `http://${formatAddress(callers.address)}`,
     pauseMs: 0,
-    refusedFirst: false,
+    firstTargetRefuses: false,
     stop: async () => {
       callers.disableKeepAlive()
       callers.rejectNewRequests()
@@ -160,7 +160,7 @@
   return trial
 }
 
-/** Kinds of the services of a trial. */
+/** Services that a trial's routers serve. */
 export const trialServices = {
   briefing: { kind: ServiceKind.Model, maxLoadFactor: 1.25 },
   charts: { kind: ServiceKind.Plain, maxLoadFactor: 1.25 },
--- a/packages/measure/src/node/once/findContradictions.ts
+++ b/packages/measure/src/node/once/findContradictions.ts
@@ -8,13 +8,13 @@
 import { CallKind } from './schedule.js'
 import { MARKER_HEADER } from './sendCall.js'
 
-/** What truly ran, from the targets' own records. */
+/** Requests that ran, from the targets' own records. */
 export interface ExecutionRecord {
   readonly runs: readonly EngineRun[]
   readonly calls: readonly PlainCall[]
 }
 
-/** One statement to a caller that the record does not bear out. */
+/** A response that contradicts the record of what ran. */
 export interface Contradiction {
   readonly marker: string
   readonly reason: string
@@ -22,7 +22,7 @@
 
 const FIRST_ERROR_STATUS = 400
 
-function ranByMarker(record: ExecutionRecord, marker: string): number {
+function countByMarker(record: ExecutionRecord, marker: string): number {
   const runs = record.runs.filter(({ chat }) => chat === marker)
   const calls = record.calls.filter(
     ({ headers }) => headers[MARKER_HEADER] === marker,
@@ -30,85 +30,89 @@
   return runs.length + calls.length
 }
 
-function ranByKey(record: ExecutionRecord, key: string): number {
+function countByKey(record: ExecutionRecord, key: string): number {
   return record.calls.filter(({ idempotencyKey }) => idempotencyKey === key)
     .length
 }
 
-function isPartOfOwnStream(
-  record: ExecutionRecord,
-  told: CallOutcome,
-): boolean {
-  const { marker, text, whole } = told
+function isOwnStream(record: ExecutionRecord, outcome: CallOutcome): boolean {
+  const { marker, text, complete } = outcome
   for (const run of record.runs) {
     if (run.chat !== marker) continue
     const expected = streamText(run)
-    if (whole ? text === expected : expected.startsWith(text)) return true
+    if (complete ? text === expected : expected.startsWith(text)) return true
   }
   return false
 }
 
-function isOwnChat(record: ExecutionRecord, told: CallOutcome): boolean {
+function isOwnChat(record: ExecutionRecord, outcome: CallOutcome): boolean {
   for (const run of record.runs) {
-    if (run.chat !== told.marker) continue
+    if (run.chat !== outcome.marker) continue
     const message = { role: 'assistant', content: run.words.join('') }
     const reply = { id: run.runId, choices: [{ index: 0, message }] }
     const expected = JSON.stringify(reply)
-    if (told.whole ? told.text === expected : expected.startsWith(told.text))
+    if (
+      outcome.complete
+        ? outcome.text === expected
+        : expected.startsWith(outcome.text)
+    )
       return true
   }
   return false
 }
 
-function isOwnEcho(told: CallOutcome): boolean {
-  const notice = told.idempotencyKey ?? told.marker
-  const end = `"echo":${JSON.stringify({ notice })}}`
-  return !told.whole || told.text.endsWith(end)
+function isOwnEcho(outcome: CallOutcome): boolean {
+  const notice = outcome.idempotencyKey ?? outcome.marker
+  const ending = `"echo":${JSON.stringify({ notice })}}`
+  return !outcome.complete || outcome.text.endsWith(ending)
 }
 
-function isOwnAnswer(record: ExecutionRecord, told: CallOutcome): boolean {
-  switch (told.kind) {
-    case CallKind.Stream:
-      return isPartOfOwnStream(record, told)
-    case CallKind.WholeChat:
-      return isOwnChat(record, told)
+function isOwnResponse(record: ExecutionRecord, outcome: CallOutcome): boolean {
+  switch (outcome.kind) {
+    case CallKind.StreamedChat:
+      return isOwnStream(record, outcome)
+    case CallKind.NonStreamedChat:
+      return isOwnChat(record, outcome)
     case CallKind.IdempotentCall:
-    case CallKind.UnrepeatableCall:
+    case CallKind.NonIdempotentCall:
     case CallKind.KeyedCall:
-      return isOwnEcho(told)
+      return isOwnEcho(outcome)
   }
 }
 
-function reasonAgainst(
+function findReason(
   record: ExecutionRecord,
-  told: CallOutcome,
+  outcome: CallOutcome,
 ): string | undefined {
-  const { kind, marker, idempotencyKey, status, verdict } = told
-  const ran = ranByMarker(record, marker)
-  if (verdict === Verdict.NotRun && ran > 0) return 'told not run, but it ran'
-  if (kind === CallKind.UnrepeatableCall && ran > 1) return 'ran twice'
+  const { kind, marker, idempotencyKey, status, verdict } = outcome
+  const ran = countByMarker(record, marker)
+  if (verdict === Verdict.NotRun && ran > 0)
+    return 'verdict not-run, but the request ran'
+  if (kind === CallKind.NonIdempotentCall && ran > 1)
+    return 'non-idempotent request ran more than once'
   if (idempotencyKey !== undefined) {
-    const ranForKey = ranByKey(record, idempotencyKey)
-    if (ranForKey > 1) return 'ran twice for one key'
+    const ranForKey = countByKey(record, idempotencyKey)
+    if (ranForKey > 1) return 'ran more than once for one idempotency key'
     if (verdict === Verdict.Ran && ranForKey === 0)
-      return 'told ran, but no request with the key ran'
+      return 'verdict ran, but no request with the idempotency key ran'
   } else if (verdict === Verdict.Ran && ran === 0)
-    return 'told ran, but it did not run'
-  const answered = status > 0 && status < FIRST_ERROR_STATUS
-  if (answered && !isOwnAnswer(record, told))
-    return 'got an answer that is not its own, whole one'
+    return 'verdict ran, but the request did not run'
+  const succeeded = status > 0 && status < FIRST_ERROR_STATUS
+  if (succeeded && !isOwnResponse(record, outcome))
+    return 'response does not match the execution of the request'
   return undefined
 }
 
-/** Holds what callers were told against what truly ran. */
+/** Returns the outcomes that contradict the record of what ran. */
 export function findContradictions(
   record: ExecutionRecord,
   outcomes: readonly CallOutcome[],
 ): Contradiction[] {
-  const found: Contradiction[] = []
-  for (const told of outcomes) {
-    const reason = reasonAgainst(record, told)
-    if (reason !== undefined) found.push({ marker: told.marker, reason })
+  const contradictions: Contradiction[] = []
+  for (const outcome of outcomes) {
+    const reason = findReason(record, outcome)
+    if (reason !== undefined)
+      contradictions.push({ marker: outcome.marker, reason })
   }
-  return found
+  return contradictions
 }
--- a/packages/measure/src/node/once/measureClaimAppends.ts
+++ b/packages/measure/src/node/once/measureClaimAppends.ts
@@ -3,10 +3,10 @@
 import { createClaims, createLogClient, createLogs } from '@auburnbay/daemon'
 import { createLogService } from '@auburnbay/stand-ins'
 import type { Figure } from '../figure.js'
-import { resolveTrialSettings } from './createRouter.js'
+import { resolveTrialSettings } from './createTrialRouter.js'
 
 const ROUTERS = 9
-/** Appends a second that the log takes from everything together. */
+/** Appends per second that the log service accepts from all of its clients together. */
 const LOG_APPENDS_PER_S = 300
 const ROUNDS = 100
 const ROUND_MS = 10
@@ -30,7 +30,7 @@
   }
 }
 
-/** Appends that one router makes under a steady stream of claims. */
+/** Measures the appends of one router under a steady stream of claims. */
 export async function measureClaimAppends(): Promise<Figure[]> {
   const log = await createLogService()
   const settings = resolveTrialSettings('router-1')
@@ -42,17 +42,17 @@
     now: Date.now,
   })
   const startedMs = performance.now()
-  const settled: Promise<boolean>[] = []
+  const results: Promise<boolean>[] = []
   for (let round = 0; round < ROUNDS; round += 1) {
     for (let index = 0; index < CLAIMS_PER_ROUND; index += 1) {
       const number = round * CLAIMS_PER_ROUND + index
       const key = `${Date.now()}.${number}`
       const claimed = claims.claim(createRequest(number), key)
-      settled.push(claimed.then((result) => result.isOk()))
+      results.push(claimed.then((result) => result.isOk()))
     }
     await sleep(ROUND_MS)
   }
-  const won = (await Promise.all(settled)).filter(Boolean).length
+  const won = (await Promise.all(results)).filter(Boolean).length
   const seconds = (performance.now() - startedMs) / 1_000
   const { appends, records } = claims.appendCounts
   await Promise.all([claims.stop(), log.close()])
@@ -67,7 +67,7 @@
     {
       measure: 'once.claims-per-append',
       value: records / appends,
-      unit: `claims, ${won} of ${settled.length} won`,
+      unit: `claims, ${won} of ${results.length} won`,
       timing: true,
     },
   ]
--- a/packages/measure/src/node/once/onceMeasures.ts
+++ b/packages/measure/src/node/once/onceMeasures.ts
@@ -4,36 +4,36 @@
 import type { CallOutcome } from './callOutcome.js'
 import { measureClaimAppends } from './measureClaimAppends.js'
 import { measureClaimMemory } from './measureClaimMemory.js'
-import { runInThreads } from './runInThreads.js'
+import { runSchedulesInThreads } from './runSchedulesInThreads.js'
 
 const SCHEDULES = 2_000
 const THREADS = 4
 const SEED = 20_261
 
-function countOf(
+function countOutcomes(
   measure: string,
   outcomes: readonly CallOutcome[],
-  matches: (told: CallOutcome) => boolean,
+  matches: (outcome: CallOutcome) => boolean,
 ): Figure {
   const value = outcomes.filter(matches).length
   return { measure: `once.${measure}`, value, unit: 'requests' }
 }
 
-/** Figures of verdicts, whole answers and at-most-once under faults. */
+/** Figures of verdicts, complete responses and at-most-once execution under faults. */
 export const onceMeasures: MeasureGroup = {
   name: 'once',
   run: async (): Promise<Figure[]> => {
-    const { outcomes, contradictions } = await runInThreads(
+    const { outcomes, contradictions } = await runSchedulesInThreads(
       SCHEDULES,
       SEED,
       THREADS,
     )
     for (const { marker, reason } of contradictions)
       process.stderr.write(`[measure] seed ${SEED}, ${marker}: ${reason}\n`)
-    const whole = (told: CallOutcome): boolean =>
-      told.status === 200 && told.whole
-    const cut = (told: CallOutcome): boolean =>
-      told.status === 200 && !told.whole
+    const isComplete = ({ status, complete }: CallOutcome): boolean =>
+      status === 200 && complete
+    const isTruncated = ({ status, complete }: CallOutcome): boolean =>
+      status === 200 && !complete
     return [
       {
         measure: 'once.schedules',
@@ -48,12 +48,16 @@
         unit: 'requests',
         bound: 0,
       },
-      countOf('requests', outcomes, () => true),
-      countOf('whole', outcomes, whole),
-      countOf('broken-off', outcomes, cut),
-      countOf('no-answer', outcomes, ({ status }) => status === 0),
-      countOf('not-run', outcomes, ({ verdict }) => verdict === Verdict.NotRun),
-      countOf(
+      countOutcomes('requests', outcomes, () => true),
+      countOutcomes('whole', outcomes, isComplete),
+      countOutcomes('broken-off', outcomes, isTruncated),
+      countOutcomes('no-answer', outcomes, ({ status }) => status === 0),
+      countOutcomes(
+        'not-run',
+        outcomes,
+        ({ verdict }) => verdict === Verdict.NotRun,
+      ),
+      countOutcomes(
         'may-have-run',
         outcomes,
         ({ verdict }) => verdict === Verdict.MayHaveRun,
--- a/packages/measure/src/node/once/runSchedules.ts
+++ b/packages/measure/src/node/once/runSchedules.ts
@@ -2,17 +2,17 @@
 import { createTrial, type TrialResult } from './createTrial.js'
 import { type Schedule, scheduleArbitrary } from './schedule.js'
 
-/** Which of the generated schedules are run. */
-export interface ScheduleShare {
-  /** Schedules generated from the seed. */
+/** One of several partitions of the generated schedules. */
+export interface SchedulePartition {
+  /** Schedules generated from the seed, over all partitions. */
   readonly count: number
   readonly seed: number
-  /** Every `of`-th schedule is run, from number `part` on. */
-  readonly part: number
-  readonly of: number
+  /** Index of this partition; it runs every `partitions`-th schedule from there. */
+  readonly partition: number
+  readonly partitions: number
 }
 
-/** Trials at a time in one thread. */
+/** Trials that run concurrently in one thread. */
 const PARALLEL_TRIALS = 12
 
 async function runTrial(
@@ -24,26 +24,28 @@
   return trial.finish()
 }
 
-/** Joins the results of trials. */
-export function joinResults(results: readonly TrialResult[]): TrialResult {
+/** Merges the results of several trials. */
+export function mergeResults(results: readonly TrialResult[]): TrialResult {
   return {
     outcomes: results.flatMap((result) => result.outcomes),
     contradictions: results.flatMap((result) => result.contradictions),
   }
 }
 
-/** Runs a share of the generated schedules, several at a time. */
-export async function runSchedules(share: ScheduleShare): Promise<TrialResult> {
-  const { count, seed, part, of } = share
+/** Runs one partition of the generated schedules, several at a time. */
+export async function runSchedules(
+  options: SchedulePartition,
+): Promise<TrialResult> {
+  const { count, seed, partition, partitions } = options
   const all = fc.sample(scheduleArbitrary, { numRuns: count, seed })
-  const own = all.filter((_, index) => index % of === part)
+  const own = all.filter((_, index) => index % partitions === partition)
   const results = await Promise.all(
     Array.from({ length: PARALLEL_TRIALS }, (_, trial) =>
       runTrial(
-        `p${part}t${trial}`,
+        `p${partition}t${trial}`,
         own.filter((_, index) => index % PARALLEL_TRIALS === trial),
       ),
     ),
   )
-  return joinResults(results)
+  return mergeResults(results)
 }
--- a/packages/measure/src/node/once/schedule.ts
+++ b/packages/measure/src/node/once/schedule.ts
@@ -1,16 +1,16 @@
 import type { EngineFaults, PlainFaults } from '@auburnbay/stand-ins'
 import fc from 'fast-check'
 
-/** What a caller asks for. */
+/** Kind of request that a caller sends. */
 export enum CallKind {
-  Stream = 'stream',
-  WholeChat = 'whole-chat',
+  StreamedChat = 'stream',
+  NonStreamedChat = 'whole-chat',
   IdempotentCall = 'idempotent-call',
-  UnrepeatableCall = 'unrepeatable-call',
+  NonIdempotentCall = 'unrepeatable-call',
   KeyedCall = 'keyed-call',
 }
 
-/** How the log service fails. */
+/** Fault of the log service during a schedule. */
 export enum LogFault {
   None = 'none',
   Outage = 'outage',
@@ -23,35 +23,36 @@
 export interface ScheduledCall {
   readonly kind: CallKind
   readonly router: 0 | 1
-  /** Requests of the same number use the same key. */
+  /** Requests with the same number share an idempotency key. */
   readonly key: 0 | 1
   readonly startAfterMs: number
-  /** Milliseconds after which the caller leaves. */
-  readonly leavesAfterMs?: number
+  /** Milliseconds after which the caller aborts. */
+  readonly abortAfterMs?: number
   readonly deadlineMs?: number
 }
 
-/** Requests and the faults that meet them. */
+/** Requests and the faults injected while they run. */
 export interface Schedule {
   readonly calls: readonly ScheduledCall[]
-  /** Faults of each target's next requests. */
-  readonly engines: readonly (readonly Partial<EngineFaults>[])[]
-  readonly plain: readonly (readonly Partial<PlainFaults>[])[]
-  /** Whether the first target tried refuses connections. */
-  readonly refusedFirst: boolean
-  /** Whether kept connections go silent before the calls. */
-  readonly keptGoSilent: boolean
-  readonly log: LogFault
-  /** A router that halts between claiming and sending, beyond every limit. */
+  /** Faults of each engine's next requests. */
+  readonly engineFaults: readonly (readonly Partial<EngineFaults>[])[]
+  /** Faults of each plain service's next requests. */
+  readonly plainFaults: readonly (readonly Partial<PlainFaults>[])[]
+  /** Whether the first target of each request refuses connections. */
+  readonly firstTargetRefuses: boolean
+  /** Whether open keep-alive connections stall before the calls. */
+  readonly keepAliveStalls: boolean
+  readonly logFault: LogFault
+  /** Router that pauses between claiming and sending for longer than any timeout. */
   readonly pausedRouter?: 0 | 1
-  /** A router that stops while it works. */
+  /** Router that stops while requests are in flight. */
   readonly stoppedRouter?: 0 | 1
 }
 
-const words = 6
-const longBytes = 900
+const ENGINE_WORDS = 6
+const MAX_CUT_BYTES = 900
 
-const engineFault: fc.Arbitrary<Partial<EngineFaults>> = fc.oneof(
+const engineFaultArbitrary: fc.Arbitrary<Partial<EngineFaults>> = fc.oneof(
   { weight: 3, arbitrary: fc.constant({}) },
   fc.constant({ refuse: true }),
   fc.constant({ resetBefore: true }),
@@ -60,60 +61,63 @@
   fc.constant({ crossAnswers: true }),
   fc.constant({ withholdEnd: true }),
   fc.constant({ forgetRuns: true, cutAfterEvents: 1 }),
-  fc.integer({ min: 0, max: words }).map((n) => ({ cutAfterEvents: n })),
-  fc.integer({ min: 0, max: words }).map((n) => ({ silentAfterEvents: n })),
-  fc.integer({ min: 0, max: longBytes }).map((n) => ({ cutAfterBytes: n })),
+  fc.integer({ min: 0, max: ENGINE_WORDS }).map((n) => ({ cutAfterEvents: n })),
+  fc
+    .integer({ min: 0, max: ENGINE_WORDS })
+    .map((n) => ({ silentAfterEvents: n })),
+  fc.integer({ min: 0, max: MAX_CUT_BYTES }).map((n) => ({ cutAfterBytes: n })),
   fc.constantFrom(10, 60).map((delayMs) => ({ delayMs })),
 )
 
-const plainFault: fc.Arbitrary<Partial<PlainFaults>> = fc.oneof(
+const plainFaultArbitrary: fc.Arbitrary<Partial<PlainFaults>> = fc.oneof(
   { weight: 3, arbitrary: fc.constant({}) },
   fc.constant({ refuse: true }),
   fc.constant({ resetBefore: true }),
   fc.constant({ resetAfter: true }),
   fc.constant({ silent: true }),
   fc.constant({ crossAnswers: true }),
-  fc.integer({ min: 0, max: longBytes }).map((n) => ({ cutAfterBytes: n })),
+  fc.integer({ min: 0, max: MAX_CUT_BYTES }).map((n) => ({ cutAfterBytes: n })),
   fc.constantFrom(10, 60).map((delayMs) => ({ delayMs })),
 )
 
-const router = fc.constantFrom(0 as const, 1 as const)
+const routerArbitrary = fc.constantFrom(0 as const, 1 as const)
 
+/** Generates a value in one of ten cases. */
 function sometimes<T>(arbitrary: fc.Arbitrary<T>): fc.Arbitrary<T | undefined> {
   return fc
     .tuple(fc.nat({ max: 9 }), arbitrary)
-    .map(([dice, value]) => (dice === 0 ? value : undefined))
+    .map(([draw, value]) => (draw === 0 ? value : undefined))
 }
 
-const call: fc.Arbitrary<ScheduledCall> = fc.record({
+const callArbitrary: fc.Arbitrary<ScheduledCall> = fc.record({
   kind: fc.oneof(
     { weight: 2, arbitrary: fc.constant(CallKind.KeyedCall) },
     { weight: 3, arbitrary: fc.constantFrom(...Object.values(CallKind)) },
   ),
-  router,
-  key: router,
+  router: routerArbitrary,
+  key: routerArbitrary,
   startAfterMs: fc.constantFrom(0, 0, 0, 15),
-  leavesAfterMs: sometimes(fc.integer({ min: 1, max: 60 })),
+  abortAfterMs: sometimes(fc.integer({ min: 1, max: 60 })),
   deadlineMs: sometimes(fc.integer({ min: 0, max: 80 })),
 })
 
-const twoTargets = <T>(fault: fc.Arbitrary<T>) =>
+const faultsOfTwoTargets = <T>(fault: fc.Arbitrary<T>) =>
   fc.tuple(fc.array(fault, { maxLength: 4 }), fc.array(fault, { maxLength: 4 }))
 
-/** Generates schedules of up to five calls with faults alone and together. */
+/** Generates schedules of up to five calls with single and combined faults. */
 export const scheduleArbitrary: fc.Arbitrary<Schedule> = fc.record({
-  calls: fc.array(call, { minLength: 1, maxLength: 5 }),
-  engines: twoTargets(engineFault),
-  plain: twoTargets(plainFault),
-  refusedFirst: fc.boolean(),
-  keptGoSilent: fc.boolean(),
-  log: fc.oneof(
+  calls: fc.array(callArbitrary, { minLength: 1, maxLength: 5 }),
+  engineFaults: faultsOfTwoTargets(engineFaultArbitrary),
+  plainFaults: faultsOfTwoTargets(plainFaultArbitrary),
+  firstTargetRefuses: fc.boolean(),
+  keepAliveStalls: fc.boolean(),
+  logFault: fc.oneof(
     { weight: 8, arbitrary: fc.constant(LogFault.None) },
     { weight: 2, arbitrary: fc.constant(LogFault.LosesReplies) },
     { weight: 1, arbitrary: fc.constant(LogFault.Outage) },
     { weight: 1, arbitrary: fc.constant(LogFault.Slow) },
     { weight: 1, arbitrary: fc.constant(LogFault.Silent) },
   ),
-  pausedRouter: sometimes(router),
-  stoppedRouter: sometimes(router),
+  pausedRouter: sometimes(routerArbitrary),
+  stoppedRouter: sometimes(routerArbitrary),
 })
--- a/packages/measure/src/node/once/scheduleWorker.ts
+++ b/packages/measure/src/node/once/scheduleWorker.ts
@@ -1,4 +1,4 @@
 import { parentPort, workerData } from 'node:worker_threads'
-import { runSchedules, type ScheduleShare } from './runSchedules.js'
+import { runSchedules, type SchedulePartition } from './runSchedules.js'
 
-parentPort?.postMessage(await runSchedules(workerData as ScheduleShare))
+parentPort?.postMessage(await runSchedules(workerData as SchedulePartition))
--- a/packages/measure/src/node/once/sendCall.ts
+++ b/packages/measure/src/node/once/sendCall.ts
@@ -9,11 +9,11 @@
 import type { CallOutcome } from './callOutcome.js'
 import { CallKind, type ScheduledCall } from './schedule.js'
 
-/** Request header that names a call towards the stand-ins' records. */
+/** Request header that identifies a call in the records of the stand-ins. */
 export const MARKER_HEADER = 'x-marker'
 
-/** One call on its way to a router. */
-export interface CallToSend {
+/** Options for {@link sendCall}. */
+export interface SendCallOptions {
   readonly call: ScheduledCall
   readonly url: string
   readonly callerKey: string
@@ -24,27 +24,27 @@
 const PLAIN_PATH = '/v1/services/charts/notices'
 const agent = new Agent({ keepAlive: false })
 
-function bodyOf({ call, marker, idempotencyKey }: CallToSend): string {
+function bodyOf({ call, marker, idempotencyKey }: SendCallOptions): string {
   switch (call.kind) {
-    case CallKind.Stream:
-    case CallKind.WholeChat:
+    case CallKind.StreamedChat:
+    case CallKind.NonStreamedChat:
       return JSON.stringify({
         model: 'briefing',
-        stream: call.kind === CallKind.Stream,
+        stream: call.kind === CallKind.StreamedChat,
         messages: [{ role: 'user', content: marker }],
       })
     case CallKind.KeyedCall:
       return JSON.stringify({ notice: idempotencyKey })
     case CallKind.IdempotentCall:
-    case CallKind.UnrepeatableCall:
+    case CallKind.NonIdempotentCall:
       return JSON.stringify({ notice: marker })
   }
 }
 
-function headersOf(sending: CallToSend): Record<string, string> {
-  const { call, callerKey, marker, idempotencyKey } = sending
+function headersOf(options: SendCallOptions): Record<string, string> {
+  const { call, callerKey, marker, idempotencyKey } = options
   const idempotent =
-    call.kind !== CallKind.KeyedCall && call.kind !== CallKind.UnrepeatableCall
+    call.kind !== CallKind.KeyedCall && call.kind !== CallKind.NonIdempotentCall
   return {
     authorization: `Bearer ${callerKey}`,
     'content-type': 'application/json',
@@ -60,12 +60,13 @@
   }
 }
 
-/** Sends a call and resolves with what its caller was told. */
-export async function sendCall(sending: CallToSend): Promise<CallOutcome> {
-  const { call, url, marker, idempotencyKey } = sending
-  const { kind, leavesAfterMs } = call
-  const chats = kind === CallKind.Stream || kind === CallKind.WholeChat
-  const path = chats ? '/v1/chat/completions' : PLAIN_PATH
+/** Sends a call to a router and resolves with the caller's outcome. */
+export async function sendCall(options: SendCallOptions): Promise<CallOutcome> {
+  const { call, url, marker, idempotencyKey } = options
+  const { kind, abortAfterMs } = call
+  const isChat =
+    kind === CallKind.StreamedChat || kind === CallKind.NonStreamedChat
+  const path = isChat ? '/v1/chat/completions' : PLAIN_PATH
   if (call.startAfterMs > 0) await sleep(call.startAfterMs)
   const base = {
     kind,
@@ -76,20 +77,20 @@
     const req = request(`${url}${path}`, {
       method: 'POST',
       agent,
-      headers: headersOf(sending),
+      headers: headersOf(options),
     })
-    if (leavesAfterMs !== undefined)
-      setTimeout(() => req.destroy(), leavesAfterMs)
-    let answered = false
-    const nothing = { ...base, status: 0, text: '', whole: false }
+    if (abortAfterMs !== undefined)
+      setTimeout(() => req.destroy(), abortAfterMs)
+    let hasResponse = false
+    const noResponse = { ...base, status: 0, text: '', complete: false }
     req.on('error', () => {
-      resolve(nothing)
+      resolve(noResponse)
     })
     req.on('close', () => {
-      if (!answered) resolve(nothing)
+      if (!hasResponse) resolve(noResponse)
     })
     req.on('response', (res) => {
-      answered = true
+      hasResponse = true
       let text = ''
       res.setEncoding('utf8')
       res.on('data', (chunk: string) => {
@@ -97,11 +98,11 @@
       })
       res.on('error', () => undefined)
       res.on('close', () => {
-        const { statusCode: status = 0, complete: whole } = res
+        const { statusCode: status = 0, complete } = res
         const verdict = String(res.headers[VERDICT_HEADER])
-        resolve({ ...base, status, verdict, text, whole })
+        resolve({ ...base, status, verdict, text, complete })
       })
     })
-    req.end(bodyOf(sending))
+    req.end(bodyOf(options))
   })
 }
