--- a/packages/measure/src/node/state/faultyLog.ts
+++ b/packages/measure/src/node/state/faultyLog.ts
@@ -1,19 +1,19 @@
 import type { ConfigurationPage, ConfigurationLogRecord } from '@auburnbay/core'
 
-/** A log in memory whose faults a schedule brings about. */
+/** In-memory log with injectable faults. */
 export class FaultyLog {
   private records: ConfigurationLogRecord[] = []
-  private first = 0
+  private oldestOffset = 0
   private generation = 1
 
-  /** Identity of the log. */
+  /** Identity of the log; changes with {@link replace}. */
   get logId(): string {
     return `log-${this.generation}`
   }
 
   /** Offset of the next append. */
   get nextOffset(): number {
-    return this.first + this.records.length
+    return this.oldestOffset + this.records.length
   }
 
   /** Appends a value. */
@@ -21,11 +21,11 @@
     this.records.push({ offset: this.nextOffset, value })
   }
 
-  /** Returns what a read from an offset brings. */
+  /** Returns the records from an offset on. */
   read(from: number): ConfigurationPage {
     return {
       logId: this.logId,
-      firstOffset: this.first,
+      firstOffset: this.oldestOffset,
       nextOffset: this.nextOffset,
       records: this.records.filter(({ offset }) => offset >= from),
     }
@@ -35,21 +35,21 @@
   trim(count: number): void {
     const dropped = Math.min(count, this.records.length)
     this.records = this.records.slice(dropped)
-    this.first += dropped
+    this.oldestOffset += dropped
   }
 
   /** Loses the newest records. */
-  shorten(count: number): void {
+  loseNewest(count: number): void {
     this.records = this.records.slice(
       0,
       Math.max(0, this.records.length - count),
     )
   }
 
-  /** Starts over, empty and under another identity. */
+  /** Replaces the log by an empty one with a new identity. */
   replace(): void {
     this.records = []
-    this.first = 0
+    this.oldestOffset = 0
     this.generation += 1
   }
 }
--- a/packages/measure/src/node/state/measureAppends.ts
+++ b/packages/measure/src/node/state/measureAppends.ts
@@ -4,13 +4,13 @@
 const DAY_MS = 86_400_000
 const RETENTION_MS = 7 * DAY_MS
 const TICK_MS = 1_000
-/** Appends that the log service takes a second. */
-const APPENDS_BOUND = 300
+/** Appends per second that the log service accepts. */
+const MAX_APPENDS_PER_S = 300
 const LEASE_MS = 15_000
 const ORDER_ROUND_MS = 1_000
 
-/** Counts the snapshots of one day with changes at an even rate. */
-function snapshotsADay(changes: number): number {
+/** Counts the snapshots of one day with evenly spaced changes. */
+function countSnapshotsPerDay(changes: number): number {
   let schedule: SnapshotSchedule = {}
   let last = { version: 0, nextOffset: 0, atMs: 0 }
   let written = 0
@@ -33,8 +33,8 @@
   return written
 }
 
-/** Counts the records by which one lease is kept for a day. */
-function leaseRecordsADay(): number {
+/** Counts the records that renew one lease for a day. */
+function countLeaseRecordsPerDay(): number {
   let validUntilMs = 0
   let written = 0
   for (let nowMs = 0; nowMs < DAY_MS; nowMs += ORDER_ROUND_MS) {
@@ -48,8 +48,8 @@
 function measureSize(name: string, changes: number): Figure[] {
   const streams = [
     ['configuration', changes],
-    ['snapshots', snapshotsADay(changes)],
-    ['leases', leaseRecordsADay()],
+    ['snapshots', countSnapshotsPerDay(changes)],
+    ['leases', countLeaseRecordsPerDay()],
   ] as const
   const figures = streams.map(([stream, records]) => ({
     measure: `state.appends-${stream}-${name}`,
@@ -61,12 +61,12 @@
     measure: `state.appends-${name}`,
     value: total,
     unit: 'appends a second of configuration, snapshots and leases',
-    bound: APPENDS_BOUND,
+    bound: MAX_APPENDS_PER_S,
   }
   return [...figures, all]
 }
 
-/** Appends a second of each stream, with few and with 47,000 changes a day. */
+/** Measures the appends per second of each stream, with 100 and with 47,000 changes a day. */
 export function measureAppends(): Figure[] {
   return [...measureSize('today', 100), ...measureSize('target-size', 47_000)]
 }
--- a/packages/measure/src/node/state/measureConfigurationFaults.ts
+++ b/packages/measure/src/node/state/measureConfigurationFaults.ts
@@ -7,19 +7,20 @@
 import { createRandom, type Random } from '../routing/bench/createRandom.js'
 import { pickIndex } from '../routing/bench/pickIndex.js'
 import { FaultyLog } from './faultyLog.js'
-import { NaiveRouter, ScheduledRouter } from './scheduledRouter.js'
+import { NaiveRouter, SimulatedRouter } from './simulatedRouter.js'
 
 const SCHEDULES = 300
 const STEPS = 120
 const ROUTERS = 5
 
-const MOVABLE: ReadonlySet<ConfigurationProblemKind> = new Set([
+/** Problems after which an operator moves the newest version to the log. */
+const MOVABLE_PROBLEMS: ReadonlySet<ConfigurationProblemKind> = new Set([
   ConfigurationProblemKind.LogReplaced,
   ConfigurationProblemKind.LogShortened,
   ConfigurationProblemKind.LogRewritten,
 ])
 
-interface Totals {
+interface ScheduleTotals {
   reverts: number
   naiveReverts: number
   disagreements: number
@@ -29,22 +30,22 @@
 interface Fleet {
   readonly log: FaultyLog
   readonly snapshots: unknown[]
-  readonly routers: ScheduledRouter[]
+  readonly routers: SimulatedRouter[]
   readonly naive: NaiveRouter
   readonly random: Random
   readonly losesRecords: boolean
   patches: number
-  /** Digests seen, by version. */
+  /** Digests of all routers so far, by version. */
   readonly digests: Map<number, Set<string>>
 }
 
 function pick<T>(random: Random, items: readonly T[]): T {
   const item = items[Math.floor(random.unit() * items.length)]
-  if (item === undefined) throw new Error('nothing to pick from')
+  if (item === undefined) throw new Error('cannot pick from an empty list')
   return item
 }
 
-function newest(fleet: Fleet): ScheduledRouter {
+function findNewest(fleet: Fleet): SimulatedRouter {
   return fleet.routers.reduce((best, router) =>
     router.state.version > best.state.version ? router : best,
   )
@@ -70,30 +71,30 @@
   if (!state.problem) fleet.snapshots.push(createSnapshot(state))
 }
 
-/** An operator carries the newest version over to a log that lost it. */
+/** Moves the newest version to a log that lost it, as an operator does. */
 function moveToLog(fleet: Fleet): void {
-  const { state } = newest(fleet)
-  if (!state.problem || !MOVABLE.has(state.problem.kind)) return
+  const { state } = findNewest(fleet)
+  if (!state.problem || !MOVABLE_PROBLEMS.has(state.problem.kind)) return
   const { logId, nextOffset } = fleet.log
   fleet.snapshots.push(moveSnapshot(state, logId, nextOffset, 'measure'))
 }
 
 function replaceRouter(fleet: Fleet): void {
   const index = Math.floor(fleet.random.unit() * ROUTERS)
-  const leaver = fleet.routers[index]
-  if (!leaver || leaver === newest(fleet)) return
-  const joiner = new ScheduledRouter()
-  joiner.reverts = leaver.reverts
-  fleet.routers[index] = joiner
-  // A joiner asks its peers first, so it never trusts an emptied log alone.
-  joiner.follow(newest(fleet))
+  const replaced = fleet.routers[index]
+  if (!replaced || replaced === findNewest(fleet)) return
+  const replacement = new SimulatedRouter()
+  replacement.reverts = replaced.reverts
+  fleet.routers[index] = replacement
+  // A new router fetches from its peers first, so it never relies on an emptied log alone.
+  replacement.fetchFrom(findNewest(fleet))
 }
 
 function loseRecords(fleet: Fleet): void {
-  if (fleet.losesRecords) fleet.log.shorten(3)
+  if (fleet.losesRecords) fleet.log.loseNewest(3)
   else {
-    // An operator's patch waits until the version stands on the new log.
-    for (const router of fleet.routers) router.parted = false
+    // Operators submit no patch until the newest version is on the new log.
+    for (const router of fleet.routers) router.partitioned = false
     readAll(fleet)
     fleet.log.replace()
     readAll(fleet)
@@ -104,7 +105,7 @@
 function readAll(fleet: Fleet): void {
   for (const router of fleet.routers) {
     router.readLog(fleet.log, fleet.snapshots)
-    router.follow(newest(fleet))
+    router.fetchFrom(findNewest(fleet))
   }
   fleet.naive.readLog(fleet.log)
 }
@@ -121,11 +122,13 @@
   },
   readAll,
   (fleet) => {
-    pick(fleet.random, fleet.routers).follow(pick(fleet.random, fleet.routers))
+    pick(fleet.random, fleet.routers).fetchFrom(
+      pick(fleet.random, fleet.routers),
+    )
   },
   (fleet) => {
     const router = pick(fleet.random, fleet.routers)
-    router.parted = !router.parted
+    router.partitioned = !router.partitioned
   },
   writeSnapshot,
   replaceRouter,
@@ -139,17 +142,17 @@
 
 function recordDigests(fleet: Fleet): void {
   for (const { state } of fleet.routers) {
-    const seen = fleet.digests.get(state.version) ?? new Set()
-    fleet.digests.set(state.version, seen.add(state.digest))
+    const digests = fleet.digests.get(state.version) ?? new Set()
+    fleet.digests.set(state.version, digests.add(state.digest))
   }
 }
 
-function runSchedule(seed: number, losesRecords: boolean): Totals {
+function runSchedule(seed: number, losesRecords: boolean): ScheduleTotals {
   const random = createRandom(seed)
   const fleet: Fleet = {
     log: new FaultyLog(),
     snapshots: [],
-    routers: Array.from({ length: ROUTERS }, () => new ScheduledRouter()),
+    routers: Array.from({ length: ROUTERS }, () => new SimulatedRouter()),
     naive: new NaiveRouter(),
     random,
     losesRecords,
@@ -165,12 +168,12 @@
     reverts: fleet.routers.reduce((sum, { reverts }) => sum + reverts, 0),
     naiveReverts: fleet.naive.reverts,
     disagreements: differing.length,
-    highestVersion: newest(fleet).state.version,
+    highestVersion: findNewest(fleet).state.version,
   }
 }
 
-function runAll(losesRecords: boolean): Totals {
-  const totals: Totals = {
+function runSchedules(losesRecords: boolean): ScheduleTotals {
+  const totals: ScheduleTotals = {
     reverts: 0,
     naiveReverts: 0,
     disagreements: 0,
@@ -186,32 +189,32 @@
   return totals
 }
 
-/** Versions that went back or differed over seeded fault schedules. */
+/** Counts versions that went back or differed in seeded fault schedules. */
 export function measureConfigurationFaults(): Figure[] {
-  const replaced = runAll(false)
-  const shortened = runAll(true)
+  const replacedLog = runSchedules(false)
+  const shortenedLog = runSchedules(true)
   return [
     {
       measure: 'state.reverts',
-      value: replaced.reverts + shortened.reverts,
+      value: replacedLog.reverts + shortenedLog.reverts,
       unit: `reverts in ${2 * SCHEDULES} fault schedules`,
       bound: 0,
-      baseline: replaced.naiveReverts + shortened.naiveReverts,
+      baseline: replacedLog.naiveReverts + shortenedLog.naiveReverts,
     },
     {
       measure: 'state.verdict-disagreements',
-      value: replaced.disagreements,
+      value: replacedLog.disagreements,
       unit: `versions that differ between routers in ${SCHEDULES} fault schedules`,
       bound: 0,
     },
     {
       measure: 'state.disagreements-after-lost-records',
-      value: shortened.disagreements,
+      value: shortenedLog.disagreements,
       unit: `versions that differ in ${SCHEDULES} schedules whose log loses acknowledged records`,
     },
     {
       measure: 'state.highest-version-in-schedules',
-      value: Math.max(replaced.highestVersion, shortened.highestVersion),
+      value: Math.max(replacedLog.highestVersion, shortenedLog.highestVersion),
       unit: 'versions',
     },
   ]
--- a/packages/measure/src/node/state/measureLeaving.ts
+++ b/packages/measure/src/node/state/measureDepartures.ts
@@ -10,20 +10,21 @@
 } from '@auburnbay/core'
 import type { Figure } from '../figure.js'
 import { createRandom } from '../routing/bench/createRandom.js'
-import { createPeerLists, createRouters } from './fleetOfRouters.js'
+import { createPeerLists, createRouters } from './routerFleet.js'
 
-/** Seconds after which a leaving target gets no new work. */
-const LEAVING_BOUND_S = 3
+/** Seconds after which a departing target must get no new work. */
+const MAX_LAST_USE_S = 3
 const LIST_POLL_MS = 1_000
 const LIST_MAX_LAG_MS = 10_000
 const TICK_MS = 50
 const HORIZON_MS = 15_000
 
-interface LeavingRun {
+interface DepartureRun {
   readonly routers: number
   readonly dataCentres: number
   readonly heartbeatMs: number
-  readonly exchange: boolean
+  /** Whether heartbeats carry departures to the peers. */
+  readonly usesHeartbeats: boolean
   readonly seed: number
 }
 
@@ -32,15 +33,18 @@
 }
 
 /** Returns when the last router stops using the target, in milliseconds. */
-function lastUse(run: LeavingRun, peers: readonly number[][]): number {
+function simulateLastUse(
+  run: DepartureRun,
+  peers: readonly number[][],
+): number {
   const random = createRandom(run.seed)
   const before = [target('a', MemberState.Live), target('b', MemberState.Live)]
   const after = [target('a', MemberState.Leaving), ...before.slice(1)]
   const views = peers.map(() => applyVmList(createMembershipView(), before, 0))
-  const polls = peers.map(() => random.unit() * LIST_POLL_MS)
-  const beats = peers.map(() => random.unit() * run.heartbeatMs)
-  // One list shows the departure at once, or nobody could know of it.
-  const lags = peers.map((_, index) =>
+  const pollPhases = peers.map(() => random.unit() * LIST_POLL_MS)
+  const heartbeatPhases = peers.map(() => random.unit() * run.heartbeatMs)
+  // At least one list must show the departure at once for it to be known.
+  const listLags = peers.map((_, index) =>
     index === 0 ? 0 : random.unit() * LIST_MAX_LAG_MS,
   )
   let lastMs = 0
@@ -49,12 +53,16 @@
   for (let nowMs = TICK_MS; nowMs < HORIZON_MS; nowMs += TICK_MS) {
     for (const index of peers.keys()) {
       const view = views[index] ?? createMembershipView()
-      const list = nowMs >= (lags[index] ?? 0) ? after : before
-      if (isDue(nowMs, polls[index] ?? 0, LIST_POLL_MS))
+      const list = nowMs >= (listLags[index] ?? 0) ? after : before
+      if (isDue(nowMs, pollPhases[index] ?? 0, LIST_POLL_MS))
         views[index] = applyVmList(view, list, nowMs)
-      if (!run.exchange || !isDue(nowMs, beats[index] ?? 0, run.heartbeatMs))
+      if (
+        !run.usesHeartbeats ||
+        !isDue(nowMs, heartbeatPhases[index] ?? 0, run.heartbeatMs)
+      )
         continue
-      for (const peer of peers[index] ?? []) tell(views, index, peer, nowMs)
+      for (const peer of peers[index] ?? [])
+        exchangeDepartures(views, index, peer, nowMs)
     }
     const isUsed = views.some((view) =>
       currentVms(view, nowMs).some(
@@ -67,18 +75,22 @@
   return lastMs
 }
 
-function tell(
+function exchangeDepartures(
   views: ReturnType<typeof createMembershipView>[],
-  one: number,
-  other: number,
+  sender: number,
+  receiver: number,
   nowMs: number,
 ): void {
-  const left = views[one] ?? createMembershipView()
-  const right = views[other] ?? createMembershipView()
-  views[one] = applyReportedDepartures(left, departureAges(right, nowMs), nowMs)
-  views[other] = applyReportedDepartures(
-    right,
-    departureAges(left, nowMs),
+  const senderView = views[sender] ?? createMembershipView()
+  const receiverView = views[receiver] ?? createMembershipView()
+  views[sender] = applyReportedDepartures(
+    senderView,
+    departureAges(receiverView, nowMs),
+    nowMs,
+  )
+  views[receiver] = applyReportedDepartures(
+    receiverView,
+    departureAges(senderView, nowMs),
     nowMs,
   )
 }
@@ -90,23 +102,29 @@
   seeds: number,
 ): Figure {
   const peers = createPeerLists(createRouters(routers, dataCentres))
-  let withPeers = 0
-  let alone = 0
+  let withHeartbeatsMs = 0
+  let listsOnlyMs = 0
   for (let seed = 1; seed <= seeds; seed += 1) {
     const run = { routers, dataCentres, heartbeatMs, seed }
-    withPeers = Math.max(withPeers, lastUse({ ...run, exchange: true }, peers))
-    alone = Math.max(alone, lastUse({ ...run, exchange: false }, peers))
+    withHeartbeatsMs = Math.max(
+      withHeartbeatsMs,
+      simulateLastUse({ ...run, usesHeartbeats: true }, peers),
+    )
+    listsOnlyMs = Math.max(
+      listsOnlyMs,
+      simulateLastUse({ ...run, usesHeartbeats: false }, peers),
+    )
   }
   return {
     measure: `state.leaving-last-use-${routers}-nodes`,
-    value: withPeers / 1_000,
+    value: withHeartbeatsMs / 1_000,
     unit: `s, worst of ${seeds} seeds, lists lag up to 10 s`,
-    bound: LEAVING_BOUND_S,
-    baseline: alone / 1_000,
+    bound: MAX_LAST_USE_S,
+    baseline: listsOnlyMs / 1_000,
   }
 }
 
-/** Time until no router gives a leaving target new work. */
-export function measureLeaving(): Figure[] {
+/** Measures the time until no router sends new work to a departing target. */
+export function measureDepartures(): Figure[] {
   return [measureSize(9, 3, 500, 100), measureSize(2_600, 11, 1_000, 1)]
 }
--- a/packages/measure/src/node/state/measureDigestBytes.ts
+++ b/packages/measure/src/node/state/measureDigestBytes.ts
@@ -1,13 +1,9 @@
 import type { Figure } from '../figure.js'
-import {
-  countPartners,
-  createPeerLists,
-  createRouters,
-} from './fleetOfRouters.js'
+import { countPeers, createPeerLists, createRouters } from './routerFleet.js'
 
-/** Bytes a second that all control traffic of a node may take. */
-const CONTROL_BOUND = 27_000
-const LEAVING_TARGETS = 16
+/** Bytes per second that a node may spend on control traffic. */
+const MAX_CONTROL_BYTES_PER_S = 27_000
+const DEPARTING_TARGETS = 16
 
 const digest = {
   configurationVersion: 1_000_000,
@@ -18,7 +14,7 @@
     readsLog: false,
   },
   leaving: Object.fromEntries(
-    Array.from({ length: LEAVING_TARGETS }, (_, index) => [
+    Array.from({ length: DEPARTING_TARGETS }, (_, index) => [
       `engine-${9_000 + index}`,
       500,
     ]),
@@ -31,19 +27,19 @@
   heartbeatMs: number,
 ): Figure {
   const peers = createPeerLists(createRouters(count, dataCentres))
-  const degrees = countPartners(peers)
+  const peerCounts = countPeers(peers)
   const bytes = Buffer.byteLength(JSON.stringify(digest))
-  const callsPerS = (Math.max(...degrees) * 1_000) / heartbeatMs
+  const callsPerS = (Math.max(...peerCounts) * 1_000) / heartbeatMs
   return {
     measure: `state.digest-bytes-${count}-nodes`,
     value: callsPerS * bytes * 2,
     unit: 'bytes a second of the busiest router, sent and received, without HTTP headers, 16 targets leaving',
-    bound: CONTROL_BOUND,
+    bound: MAX_CONTROL_BYTES_PER_S,
     baseline: ((count - 1) * 2 * 1_000 * bytes) / heartbeatMs,
   }
 }
 
-/** Bytes of version digests and departures in heartbeats. */
+/** Measures the bytes of version digests and departures in heartbeats. */
 export function measureDigestBytes(): Figure[] {
   return [measureSize(9, 3, 500), measureSize(2_600, 11, 1_000)]
 }
--- a/packages/measure/src/node/state/measureOrderWindow.ts
+++ b/packages/measure/src/node/state/measureOrderWindow.ts
@@ -5,58 +5,64 @@
 const PAUSE_MS = 40_000
 const ROUND_MS = 1_000
 const HORIZON_MS = 120_000
-const right = engineStateSchema.parse({ model: 'right' })
-const wrong = engineStateSchema.parse({ model: 'wrong' })
+const desiredState = engineStateSchema.parse({ model: 'right' })
+const wrongState = engineStateSchema.parse({ model: 'wrong' })
 
 /**
- * Returns for how long an engine holds a wrong state, in milliseconds: the
- * holder of token 1 pauses between its last look at the log and its order,
- * the holder of token 2 has brought the engine to the right state meanwhile.
+ * Simulates a late order and returns how long the engine is in a wrong state,
+ * in milliseconds. The lease holder with token 1 pauses between its last read
+ * of the log and its order; meanwhile the holder with token 2 has brought the
+ * engine to the desired state. With `readsBack`, the holder with token 2 keeps
+ * reading the engine's state and corrects it.
  */
-function wrongOrderWindow(checksFencing: boolean, readsBack: boolean): number {
-  let held = right
+function simulateLateOrder(checksFencing: boolean, readsBack: boolean): number {
+  let state = desiredState
   let highestToken = 2
   let sinceMs: number | undefined
   let wrongMs = 0
-  const order = (token: number, state: typeof right): void => {
+  const applyOrder = (token: number, ordered: typeof desiredState): void => {
     if (checksFencing && token < highestToken) return
     highestToken = Math.max(highestToken, token)
-    held = state
+    state = ordered
   }
   for (let nowMs = 0; nowMs < HORIZON_MS; nowMs += ROUND_MS) {
-    if (nowMs === PAUSE_MS) order(1, wrong)
-    if (held !== right) wrongMs += ROUND_MS
+    if (nowMs === PAUSE_MS) applyOrder(1, wrongState)
+    if (state !== desiredState) wrongMs += ROUND_MS
     if (!readsBack) continue
-    const sighting = { inFlight: 0, atMs: nowMs }
-    const drain = { sinceMs, routers: [sighting], target: sighting }
-    const target = { id: 'engine-1', service: 'briefing', desired: right }
+    const loadReport = { inFlight: 0, atMs: nowMs }
+    const drain = { sinceMs, routers: [loadReport], target: loadReport }
+    const target = {
+      id: 'engine-1',
+      service: 'briefing',
+      desired: desiredState,
+    }
     const [action] = planOrders({
-      targets: [{ ...target, observed: held, drain, strayed: true }],
+      targets: [{ ...target, observed: state, drain, strayed: true }],
       lease: { token: 2, validUntilMs: nowMs + LEASE_MS },
       loads: 1,
       nowMs,
     })
     if (action?.kind === OrderActionKind.Drain) sinceMs ??= nowMs
-    if (action?.kind === OrderActionKind.Send) order(2, action.state)
+    if (action?.kind === OrderActionKind.Send) applyOrder(2, action.state)
   }
   return wrongMs
 }
 
-/** Time for which a paused holder's late order can stand. */
+/** Measures how long a late order of a paused lease holder stays in effect. */
 export function measureOrderWindow(): Figure[] {
   return [
     {
       measure: 'state.wrong-order-window-checking-engine',
-      value: wrongOrderWindow(true, true) / 1_000,
+      value: simulateLateOrder(true, true) / 1_000,
       unit: 's',
       bound: 0,
-      baseline: wrongOrderWindow(true, false) / 1_000,
+      baseline: simulateLateOrder(true, false) / 1_000,
     },
     {
       measure: 'state.wrong-order-window-ignoring-engine',
-      value: wrongOrderWindow(false, true) / 1_000,
+      value: simulateLateOrder(false, true) / 1_000,
       unit: 's on an idle engine with a load that takes no time; baseline never reads back, within 120 s',
-      baseline: wrongOrderWindow(false, false) / 1_000,
+      baseline: simulateLateOrder(false, false) / 1_000,
     },
   ]
 }
--- a/packages/measure/src/node/state/measurePatchCost.ts
+++ b/packages/measure/src/node/state/measurePatchCost.ts
@@ -9,14 +9,14 @@
 
 const CUSTOMERS = 630
 const TARGETS = 10_000
-const CHANGES_A_DAY = 47_000
+const CHANGES_PER_DAY = 47_000
 const DAY_MS = 86_400_000
-/** Share of a core that all control work of a node may take. */
-const CORE_SHARE_BOUND = 0.011
-const TOUCHED_RUNS = 200
-const WHOLE_RUNS = 10
+/** Share of a core that a node may spend on control work. */
+const MAX_CORE_SHARE = 0.011
+const INCREMENTAL_RUNS = 200
+const FULL_RUNS = 10
 
-function createLarge(): Configuration {
+function createLargeConfiguration(): Configuration {
   const customers: Record<string, unknown> = {}
   for (let index = 0; index < CUSTOMERS; index += 1)
     customers[`customer-${index}`] = { weight: 1 + (index % 5) }
@@ -30,6 +30,7 @@
   return configurationSchema.parse({ customers, targets })
 }
 
+/** Returns the mean duration of a patch, in milliseconds. */
 function timePatches(
   patch: typeof patchConfiguration,
   configuration: Configuration,
@@ -45,19 +46,24 @@
   return (performance.now() - start) / runs
 }
 
-/** Share of a core that applying the changes of a day takes. */
+/** Measures the share of a core that applying a day's changes takes. */
 export function measurePatchCost(): Figure {
-  const configuration = createLarge()
-  timePatches(patchConfiguration, configuration, TOUCHED_RUNS)
-  const touchedMs = timePatches(patchConfiguration, configuration, TOUCHED_RUNS)
-  const wholeMs = timePatches(patchFullConfiguration, configuration, WHOLE_RUNS)
-  const share = (costMs: number): number => (costMs * CHANGES_A_DAY) / DAY_MS
+  const configuration = createLargeConfiguration()
+  // Warm-up.
+  timePatches(patchConfiguration, configuration, INCREMENTAL_RUNS)
+  const incrementalMs = timePatches(
+    patchConfiguration,
+    configuration,
+    INCREMENTAL_RUNS,
+  )
+  const fullMs = timePatches(patchFullConfiguration, configuration, FULL_RUNS)
+  const share = (costMs: number): number => (costMs * CHANGES_PER_DAY) / DAY_MS
   return {
     measure: 'state.patch-cost',
-    value: share(touchedMs),
+    value: share(incrementalMs),
     unit: 'of a core for 47,000 changes a day, 630 customers, 10,000 targets',
-    bound: CORE_SHARE_BOUND,
-    baseline: share(wholeMs),
+    bound: MAX_CORE_SHARE,
+    baseline: share(fullMs),
     timing: true,
   }
 }
--- a/packages/measure/src/node/state/measurePropagation.ts
+++ b/packages/measure/src/node/state/measurePropagation.ts
@@ -1,21 +1,17 @@
 import { shouldTail, tailerOrder } from '@auburnbay/core'
 import { BoundKind, type Figure } from '../figure.js'
 import { createRandom } from '../routing/bench/createRandom.js'
-import {
-  countPartners,
-  createPeerLists,
-  createRouters,
-} from './fleetOfRouters.js'
+import { countPeers, createPeerLists, createRouters } from './routerFleet.js'
 
-/** Seconds within which a change is in force everywhere. */
-const IN_FORCE_BOUND_S = 18
-/** Reads and appends that the log service takes a second. */
+/** Seconds within which a change must be in force on every router. */
+const MAX_PROPAGATION_S = 18
+/** Reads and appends per second that the log service accepts. */
 const LOG_CALLS_PER_S = 300
 const TICK_MS = 50
 const LOG_READ_MS = 100
 const FETCH_MS = 100
-const LOST_HEARTBEATS = 0.05
-const DEAD_ROUTERS = 0.01
+const HEARTBEAT_LOSS_RATE = 0.05
+const DEAD_ROUTER_SHARE = 0.01
 const SEEDS = 5
 const HORIZON_MS = 120_000
 
@@ -31,8 +27,8 @@
   { name: '2600-nodes', routers: 2_600, dataCentres: 11, heartbeatMs: 1_000 },
 ]
 
-/** Simulates one change; returns when the last live router has it, in ms. */
-function spread(
+/** Simulates one change; returns when the last live router has it, in milliseconds. */
+function simulatePropagation(
   size: FleetSize,
   peers: readonly number[][],
   tailers: ReadonlySet<number>,
@@ -41,7 +37,7 @@
   const random = createRandom(seed)
   const inForceAt = new Array<number>(size.routers).fill(Infinity)
   const phases = inForceAt.map(() => random.unit() * size.heartbeatMs)
-  const dead = phases.map(() => random.unit() < DEAD_ROUTERS)
+  const dead = phases.map(() => random.unit() < DEAD_ROUTER_SHARE)
   for (const tailer of tailers)
     if (!dead[tailer]) inForceAt[tailer] = LOG_READ_MS * (1 + random.unit())
   for (let nowMs = 0; nowMs < HORIZON_MS; nowMs += TICK_MS) {
@@ -53,52 +49,54 @@
       const sinceDue = (nowMs - phase + size.heartbeatMs) % size.heartbeatMs
       if (dead[index] || sinceDue >= TICK_MS) continue
       for (const peer of peers[index] ?? []) {
-        if (dead[peer] || random.unit() < LOST_HEARTBEATS) continue
-        exchange(inForceAt, index, peer, nowMs)
+        if (dead[peer] || random.unit() < HEARTBEAT_LOSS_RATE) continue
+        exchangeDigests(inForceAt, index, peer, nowMs)
       }
     }
   }
   return HORIZON_MS
 }
 
-function exchange(
+function exchangeDigests(
   inForceAt: number[],
-  one: number,
-  other: number,
+  sender: number,
+  receiver: number,
   nowMs: number,
 ): void {
-  const knows = (index: number): boolean =>
+  const hasChange = (index: number): boolean =>
     (inForceAt[index] ?? Infinity) <= nowMs
-  if (knows(one) === knows(other)) return
-  const behind = knows(one) ? other : one
+  if (hasChange(sender) === hasChange(receiver)) return
+  const behind = hasChange(sender) ? receiver : sender
   inForceAt[behind] = Math.min(inForceAt[behind] ?? Infinity, nowMs + FETCH_MS)
 }
 
 function measureSize(size: FleetSize): Figure[] {
   const routers = createRouters(size.routers, size.dataCentres)
   const peers = createPeerLists(routers)
-  const orders = new Map<string, string[]>()
+  const candidates = new Map<string, string[]>()
   for (const { dataCentre } of routers)
-    if (!orders.has(dataCentre))
-      orders.set(dataCentre, tailerOrder(dataCentre, routers))
+    if (!candidates.has(dataCentre))
+      candidates.set(dataCentre, tailerOrder(dataCentre, routers))
   const tailers = new Set<number>()
   for (const [index, router] of routers.entries()) {
-    const near = new Set((orders.get(router.dataCentre) ?? []).slice(0, 4))
+    const firstCandidates = new Set(
+      (candidates.get(router.dataCentre) ?? []).slice(0, 4),
+    )
     const others = routers
-      .filter(({ id }) => near.has(id) && id !== router.id)
+      .filter(({ id }) => firstCandidates.has(id) && id !== router.id)
       .map((peer) => ({ ...peer, readsLog: true }))
     if (shouldTail(router, others)) tailers.add(index)
   }
   let worstMs = 0
   for (let seed = 1; seed <= SEEDS; seed += 1)
-    worstMs = Math.max(worstMs, spread(size, peers, tailers, seed))
-  const degrees = countPartners(peers)
+    worstMs = Math.max(worstMs, simulatePropagation(size, peers, tailers, seed))
+  const peerCounts = countPeers(peers)
   return [
     {
       measure: `state.in-force-everywhere-${size.name}`,
       value: worstMs / 1_000,
       unit: 's, worst of 5 seeds, 5% of heartbeats lost, 1% of routers dead',
-      bound: IN_FORCE_BOUND_S,
+      bound: MAX_PROPAGATION_S,
       baseline: size.routers / LOG_CALLS_PER_S,
     },
     {
@@ -111,14 +109,14 @@
     },
     {
       measure: `state.most-heartbeats-${size.name}`,
-      value: (Math.max(...degrees) * 1_000) / size.heartbeatMs,
+      value: (Math.max(...peerCounts) * 1_000) / size.heartbeatMs,
       unit: 'heartbeat calls a second of the busiest router',
       baseline: ((size.routers - 1) * 1_000) / size.heartbeatMs,
     },
   ]
 }
 
-/** Time until a change is in force everywhere, and what it costs the log. */
+/** Measures the time until a change is in force everywhere and its load on the log. */
 export function measurePropagation(): Figure[] {
   return SIZES.flatMap(measureSize)
 }
--- a/packages/measure/src/node/state/fleetOfRouters.ts
+++ b/packages/measure/src/node/state/routerFleet.ts
@@ -1,14 +1,17 @@
 import { chooseDigestPeers, type RouterLocation } from '@auburnbay/core'
 
 /** Creates routers spread evenly over data centres. */
-export function createRouters(count: number, places: number): RouterLocation[] {
+export function createRouters(
+  count: number,
+  dataCentres: number,
+): RouterLocation[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `router-${index}`,
-    dataCentre: `dc-${index % places}`,
+    dataCentre: `dc-${index % dataCentres}`,
   }))
 }
 
-/** Returns the indices that each router sends heartbeats to. */
+/** Returns, for each router, the indices of the peers that it sends heartbeats to. */
 export function createPeerLists(
   routers: readonly RouterLocation[],
 ): number[][] {
@@ -18,10 +21,10 @@
   )
 }
 
-/** Counts the routers that each router exchanges heartbeats with. */
-export function countPartners(peers: readonly number[][]): number[] {
-  const partners = peers.map((list) => new Set(list))
+/** Counts the peers that each router sends heartbeats to or receives them from. */
+export function countPeers(peers: readonly number[][]): number[] {
+  const contacts = peers.map((list) => new Set(list))
   for (const [index, list] of peers.entries())
-    for (const peer of list) partners[peer]?.add(index)
-  return partners.map(({ size }) => size)
+    for (const peer of list) contacts[peer]?.add(index)
+  return contacts.map(({ size }) => size)
 }
--- a/packages/measure/src/node/state/stateMeasures.ts
+++ b/packages/measure/src/node/state/stateMeasures.ts
@@ -2,7 +2,7 @@
 import { measureAppends } from './measureAppends.js'
 import { measureConfigurationFaults } from './measureConfigurationFaults.js'
 import { measureDigestBytes } from './measureDigestBytes.js'
-import { measureLeaving } from './measureLeaving.js'
+import { measureDepartures } from './measureDepartures.js'
 import { measureOrderWindow } from './measureOrderWindow.js'
 import { measurePatchCost } from './measurePatchCost.js'
 import { measurePropagation } from './measurePropagation.js'
@@ -17,6 +17,6 @@
     ...measureDigestBytes(),
     measurePatchCost(),
     ...measureOrderWindow(),
-    ...measureLeaving(),
+    ...measureDepartures(),
   ],
 }
