--- a/packages/measure/src/node/stopping/__tests__/stopping.test.ts
+++ b/packages/measure/src/node/stopping/__tests__/stopping.test.ts
@@ -1,23 +1,23 @@
 import assert from 'node:assert/strict'
 import { Agent } from 'node:http'
 import { describe, it } from 'node:test'
-import { callChat, ChatEnd } from '../chatCall.js'
-import { startProcessFleet } from '../processFleet.js'
-import { rollFleet } from '../rollFleet.js'
+import { callChat, ChatOutcome } from '../callChat.js'
+import { startProcessFleet } from '../startProcessFleet.js'
+import { runRollingRestart } from '../runRollingRestart.js'
 
-const EXIT_CUT_OFF = 3
+const EXIT_ABORTED = 3
 
-describe('a router process that gets SIGTERM', () => {
-  it('lets no request fail while each router is replaced', async () => {
-    const { ends, exitCodes, openAtStop } = await rollFleet(2, 6)
-    const { whole, ...others } = ends
+describe('a router process that receives SIGTERM', () => {
+  it('fails no request during a rolling restart', async () => {
+    const { outcomes, exitCodes, openAtStop } = await runRollingRestart(2, 6)
+    const { whole, ...others } = outcomes
     assert.ok(whole > 0)
     assert.ok(openAtStop > 0)
     assert.deepEqual(Object.values(others), [0, 0, 0, 0])
     assert.deepEqual(exitCodes, [0, 0])
   })
 
-  it('breaks a stream off visibly beyond the limit and says so on exit', async () => {
+  it('aborts a stream visibly after the drain timeout and reports it in the exit code', async () => {
     const words = 2_000
     const fleet = await startProcessFleet({
       routers: 1,
@@ -28,13 +28,13 @@
     assert.ok(router)
     const agent = new Agent({ keepAlive: true })
     const { callerKey } = fleet
-    const onStarted = (): void => {
+    const onFirstChunk = (): void => {
       router.child.kill('SIGTERM')
     }
     const prompt = 'long'
-    const call = { router, callerKey, agent, prompt, words, onStarted }
-    assert.equal(await callChat(call), ChatEnd.Broken)
-    assert.equal(await router.exited, EXIT_CUT_OFF)
+    const call = { router, callerKey, agent, prompt, words, onFirstChunk }
+    assert.equal(await callChat(call), ChatOutcome.Aborted)
+    assert.equal(await router.exited, EXIT_ABORTED)
     fleet.remove(router)
     const runs = fleet.engines.flatMap((engine) => engine.runs)
     assert.deepEqual(
--- a/packages/measure/src/node/stopping/chatCall.ts
+++ b/packages/measure/src/node/stopping/callChat.ts
@@ -4,61 +4,64 @@
 import type { RouterProcess } from './forkRouter.js'
 
 /** How a streamed chat ended for its caller. */
-export enum ChatEnd {
-  /** The whole and right answer came. */
-  Whole = 'whole',
-  /** A failure came with the verdict "not run". */
+export enum ChatOutcome {
+  /** The complete and correct response arrived. */
+  Complete = 'whole',
+  /** An error response arrived with the verdict `not-run`. */
   NotRun = 'not-run',
-  /** A failure came with another verdict. */
+  /** An error response arrived with another verdict. */
   Failed = 'failed',
-  /** The answer or the connection broke off visibly. */
-  Broken = 'broken',
-  /** The answer ended cleanly though it is not the right one. */
+  /** The response or the connection was aborted, visibly to the caller. */
+  Aborted = 'broken',
+  /** The response ended cleanly but is not the expected one. */
   Wrong = 'wrong',
 }
 
-/** One streamed chat through one router. */
+/** Options for {@link callChat}. */
 export interface ChatCall {
   readonly router: RouterProcess
   readonly callerKey: string
   readonly agent: Agent
-  /** Unlike any other call's. */
+  /** Unique among all calls; determines the expected response. */
   readonly prompt: string
   readonly words: number
-  /** Told when the first part of the answer has come. */
-  readonly onStarted?: () => void
+  /** Called when the first chunk of the response arrives. */
+  readonly onFirstChunk?: () => void
 }
 
-interface Received {
+interface ChatResponse {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly text: string
 }
 
-function contentOf(text: string): string {
+function joinContent(text: string): string {
   const pattern = /"content":("(?:[^"\\]|\\.)*")/g
   const parts = [...text.matchAll(pattern)].map((match) => match[1] ?? '""')
   return parts.map((part) => JSON.parse(part) as string).join('')
 }
 
-function judge(call: ChatCall, { status, headers, text }: Received): ChatEnd {
+function classifyResponse(
+  call: ChatCall,
+  { status, headers, text }: ChatResponse,
+): ChatOutcome {
   if (status !== 200)
     return headers['x-auburnbay-verdict'] === 'not-run'
-      ? ChatEnd.NotRun
-      : ChatEnd.Failed
+      ? ChatOutcome.NotRun
+      : ChatOutcome.Failed
   const messages = [{ content: call.prompt }]
   const expected = answerWords({ messages }, call.words).join('')
-  const right = contentOf(text) === expected && text.includes('[DONE]')
-  return right ? ChatEnd.Whole : ChatEnd.Wrong
+  const isExpected = joinContent(text) === expected && text.includes('[DONE]')
+  return isExpected ? ChatOutcome.Complete : ChatOutcome.Wrong
 }
 
-/** Sends a streamed chat and says how it ended. */
-export function callChat(call: ChatCall): Promise<ChatEnd> {
+/** Sends a streamed chat and resolves with its outcome. */
+export function callChat(call: ChatCall): Promise<ChatOutcome> {
   const { router, callerKey, agent, prompt } = call
   const address = formatAddress(router.addresses.callers)
   return new Promise((resolve) => {
-    const broken = (): void => {
-      resolve(ChatEnd.Broken)
+    const resolveAborted = (): void => {
+      resolve(ChatOutcome.Aborted)
     }
     const req = request(`http://${address}/v1/chat/completions`, {
       method: 'POST',
@@ -69,19 +72,19 @@
         'x-auburnbay-chat': prompt,
       },
     })
-    req.on('error', broken)
+    req.on('error', resolveAborted)
     req.on('response', (res) => {
       let text = ''
       res.setEncoding('utf8')
-      res.once('data', () => call.onStarted?.())
+      res.once('data', () => call.onFirstChunk?.())
       res.on('data', (chunk: string) => {
         text += chunk
       })
-      res.on('error', broken)
+      res.on('error', resolveAborted)
       res.on('close', () => {
         const { statusCode: status = 0, headers, complete } = res
-        if (complete) resolve(judge(call, { status, headers, text }))
-        else broken()
+        if (complete) resolve(classifyResponse(call, { status, headers, text }))
+        else resolveAborted()
       })
     })
     const messages = [{ role: 'user', content: prompt }]
--- a/packages/measure/src/node/stopping/killRouter.ts
+++ b/packages/measure/src/node/stopping/killRouterUnderLoad.ts
@@ -1,16 +1,16 @@
 import { setTimeout as sleep } from 'node:timers/promises'
-import { startBalancedLoad } from './balancedLoad.js'
-import type { ChatEnd } from './chatCall.js'
-import { startProcessFleet } from './processFleet.js'
+import { startBalancedLoad } from './startBalancedLoad.js'
+import type { ChatOutcome } from './callChat.js'
+import { startProcessFleet } from './startProcessFleet.js'
 
 const WORDS = 20
 const WORD_DELAY_MS = 10
 const SETTLE_MS = 300
 
-/** Kills a router under load; returns how its callers' requests ended. */
-export async function killRouter(
+/** Kills one of two routers under load; returns the number of calls by outcome. */
+export async function killRouterUnderLoad(
   callers: number,
-): Promise<Readonly<Record<ChatEnd, number>>> {
+): Promise<Readonly<Record<ChatOutcome, number>>> {
   const fleet = await startProcessFleet({
     routers: 2,
     engine: { words: WORDS, wordDelayMs: WORD_DELAY_MS },
@@ -27,5 +27,5 @@
   await sleep(SETTLE_MS)
   await load.stop()
   await fleet.stop()
-  return load.ends
+  return load.outcomes
 }
--- a/packages/measure/src/node/stopping/rollFleet.ts
+++ b/packages/measure/src/node/stopping/runRollingRestart.ts
@@ -1,13 +1,13 @@
 import { setTimeout as sleep } from 'node:timers/promises'
-import { startBalancedLoad } from './balancedLoad.js'
-import type { ChatEnd } from './chatCall.js'
-import { startProcessFleet } from './processFleet.js'
+import { startBalancedLoad } from './startBalancedLoad.js'
+import type { ChatOutcome } from './callChat.js'
+import { startProcessFleet } from './startProcessFleet.js'
 
-/** What callers saw while every router was replaced. */
-export interface RollingResult {
-  readonly ends: Readonly<Record<ChatEnd, number>>
+/** What callers and routers observed during a rolling restart. */
+export interface RollingRestartResult {
+  readonly outcomes: Readonly<Record<ChatOutcome, number>>
   readonly exitCodes: readonly (number | null)[]
-  /** Streams open through routers when they were told to stop. */
+  /** Streams open through the routers when they received SIGTERM. */
   readonly openAtStop: number
 }
 
@@ -16,10 +16,10 @@
 const SETTLE_MS = 200
 
 /** Replaces every router, one after another, under load. */
-export async function rollFleet(
+export async function runRollingRestart(
   routers: number,
   callers: number,
-): Promise<RollingResult> {
+): Promise<RollingRestartResult> {
   const fleet = await startProcessFleet({
     routers,
     engine: { words: WORDS, wordDelayMs: WORD_DELAY_MS },
@@ -30,7 +30,7 @@
   let openAtStop = 0
   for (const router of [...fleet.routers]) {
     await sleep(SETTLE_MS)
-    openAtStop += load.openThrough(router)
+    openAtStop += load.countOpenStreams(router)
     router.child.kill('SIGTERM')
     exitCodes.push(await router.exited)
     fleet.remove(router)
@@ -38,5 +38,5 @@
   }
   await load.stop()
   await fleet.stop()
-  return { ends: load.ends, exitCodes, openAtStop }
+  return { outcomes: load.outcomes, exitCodes, openAtStop }
 }
--- a/packages/measure/src/node/stopping/processFleet.ts
+++ b/packages/measure/src/node/stopping/startProcessFleet.ts
@@ -17,21 +17,21 @@
 } from '@auburnbay/stand-ins'
 import { forkRouter, type RouterProcess } from './forkRouter.js'
 
-/** Router processes before stand-ins of this process. */
+/** Router processes in front of stand-ins that run in this process. */
 export interface ProcessFleet {
   readonly engines: readonly EngineStandIn[]
-  readonly plain: PlainServiceStandIn
+  readonly plainService: PlainServiceStandIn
   readonly callerKey: string
-  /** Routers that run. */
+  /** Routers on the VM list. */
   readonly routers: ReadonlySet<RouterProcess>
   /** Starts another router and waits until it is ready. */
   add(): Promise<RouterProcess>
-  /** Takes a router that has ended off the VM list. */
+  /** Removes a router that has exited from the VM list. */
   remove(router: RouterProcess): void
   stop(): Promise<void>
 }
 
-/** What a fleet of processes consists of. */
+/** Options for {@link startProcessFleet}. */
 export interface ProcessFleetOptions {
   readonly routers: number
   readonly engine: EngineOptions
@@ -39,11 +39,11 @@
 }
 
 const CALL_TIMEOUT_MS = 10_000
-const READY_PAUSE_MS = 20
+const READY_POLL_MS = 20
 const PURPOSE = 'measure'
 const ADMIN_TOKEN = createRouterSecrets(PURPOSE).admin
 
-/** Returns whether a router's readiness holds. */
+/** Returns whether a router reports that it is ready. */
 export async function isReady(router: RouterProcess): Promise<boolean> {
   const reply = await requestJson({
     method: 'GET',
@@ -53,9 +53,9 @@
   return reply.isOk() && reply.value.status === 200
 }
 
-function operationsFor(
+function createOperations(
   engines: readonly StandIn[],
-  plain: StandIn,
+  plainService: StandIn,
   storedKey: unknown,
 ): unknown[] {
   const add = (path: string, value: unknown) => ({ op: 'add', path, value })
@@ -71,17 +71,17 @@
     ...engines.map((engine, index) =>
       add(`/targets/engine-${index + 1}`, target('briefing', engine)),
     ),
-    add('/targets/charts-1', target('charts', plain)),
+    add('/targets/charts-1', target('charts', plainService)),
   ]
 }
 
-/** Starts stand-ins and router processes with one configuration in force. */
+/** Starts stand-ins and router processes that share one configuration. */
 export async function startProcessFleet(
   options: ProcessFleetOptions,
 ): Promise<ProcessFleet> {
   const log = await createLogService()
   const vmList = await createVmList()
-  const plain = await createPlainService()
+  const plainService = await createPlainService()
   const engines = await Promise.all(
     [0, 1, 2].map(() => createEngine(options.engine)),
   )
@@ -89,7 +89,7 @@
   const key = createCallerKey('corrib', 'bridge')
   let started = 0
 
-  function publish(): void {
+  function publishVms(): void {
     vmList.vms = [...routers].map(({ id, addresses }) => ({
       id,
       role: 'router',
@@ -114,17 +114,17 @@
       stopping: options.stopping,
     })
     routers.add(router)
-    publish()
+    publishVms()
     return router
   }
 
-  async function untilReady(router: RouterProcess): Promise<RouterProcess> {
-    while (!(await isReady(router))) await sleep(READY_PAUSE_MS)
+  async function waitUntilReady(router: RouterProcess): Promise<RouterProcess> {
+    while (!(await isReady(router))) await sleep(READY_POLL_MS)
     return router
   }
 
   const first = await start()
-  const accepted = await requestJson({
+  const reply = await requestJson({
     method: 'POST',
     url: `http://${formatAddress(first.addresses.admin)}/config/patches`,
     headers: { authorization: `Bearer ${ADMIN_TOKEN}` },
@@ -132,32 +132,32 @@
       patchId: randomUUID(),
       baseVersion: 0,
       author: 'measure',
-      operations: operationsFor(engines, plain, key.stored),
+      operations: createOperations(engines, plainService, key.stored),
     },
     timeoutMs: CALL_TIMEOUT_MS,
   })
-  if (accepted.isErr() || accepted.value.status !== 200)
+  if (reply.isErr() || reply.value.status !== 200)
     throw new Error(
-      `the configuration was refused: ${JSON.stringify(accepted)}`,
+      `the router rejected the configuration: ${JSON.stringify(reply)}`,
     )
-  await untilReady(first)
+  await waitUntilReady(first)
   for (let index = 1; index < options.routers; index += 1)
-    await untilReady(await start())
+    await waitUntilReady(await start())
 
   return {
     engines,
-    plain,
+    plainService,
     callerKey: key.text,
     routers,
-    add: async () => untilReady(await start()),
+    add: async () => waitUntilReady(await start()),
     remove: (router) => {
       routers.delete(router)
-      publish()
+      publishVms()
     },
     stop: async () => {
       for (const { child } of routers) child.kill('SIGTERM')
       await Promise.all([...routers].map(({ exited }) => exited))
-      const standIns = [log, vmList, plain, ...engines]
+      const standIns = [log, vmList, plainService, ...engines]
       await Promise.all(standIns.map((standIn) => standIn.close()))
     },
   }
--- a/packages/measure/src/node/stopping/stoppingMeasures.ts
+++ b/packages/measure/src/node/stopping/stoppingMeasures.ts
@@ -1,26 +1,26 @@
 import { BoundKind, type Figure } from '../figure.js'
 import type { MeasureGroup } from '../measureGroup.js'
-import { ChatEnd } from './chatCall.js'
-import { killRouter } from './killRouter.js'
-import { rollFleet } from './rollFleet.js'
+import { ChatOutcome } from './callChat.js'
+import { killRouterUnderLoad } from './killRouterUnderLoad.js'
+import { runRollingRestart } from './runRollingRestart.js'
 
 const ROUTERS = 3
 const CALLERS = 12
 
-/** Figures of stopping, replacing and losing routers. */
+/** Figures of rolling restarts and of killed routers. */
 export const stoppingMeasures: MeasureGroup = {
   name: 'stopping',
   run: async (): Promise<Figure[]> => {
     const [rolled, killed] = await Promise.all([
-      rollFleet(ROUTERS, CALLERS),
-      killRouter(CALLERS),
+      runRollingRestart(ROUTERS, CALLERS),
+      killRouterUnderLoad(CALLERS),
     ])
-    const total = Object.values(rolled.ends).reduce((sum, n) => sum + n, 0)
+    const total = Object.values(rolled.outcomes).reduce((sum, n) => sum + n, 0)
     const requests = 'requests'
     return [
       {
         measure: 'stopping.rolling-failed',
-        value: total - rolled.ends[ChatEnd.Whole],
+        value: total - rolled.outcomes[ChatOutcome.Complete],
         unit: `${requests} not answered whole`,
         bound: 0,
       },
@@ -40,13 +40,13 @@
       },
       {
         measure: 'stopping.killed-wrong',
-        value: killed[ChatEnd.Wrong] + killed[ChatEnd.NotRun],
+        value: killed[ChatOutcome.Wrong] + killed[ChatOutcome.NotRun],
         unit: `${requests} told something untrue`,
         bound: 0,
       },
       {
         measure: 'stopping.killed-broken',
-        value: killed[ChatEnd.Broken],
+        value: killed[ChatOutcome.Aborted],
         unit: `${requests} broken off visibly`,
         bound: 1,
         boundKind: BoundKind.AtLeast,
