--- a/packages/measure/src/node/control/chatLoad.ts
+++ b/packages/measure/src/node/control/chatLoad.ts
@@ -2,36 +2,36 @@
 import { performance } from 'node:perf_hooks'
 import { CHAT_HEADER } from '@auburnbay/core'
 
-/** Where a chat request goes. */
-export interface ChatWay {
+/** Address that chat requests are sent to, with the caller's key. */
+export interface ChatEndpoint {
   /** Host and port. */
   readonly address: string
   readonly key: string
 }
 
-const PATH = '/v1/chat/completions'
+const CHAT_PATH = '/v1/chat/completions'
 
-function bodyOf(): string {
+function createBody(): string {
   const messages = [{ role: 'user', content: 'Ice in Baffin Bay?' }]
   return JSON.stringify({ model: 'briefing', stream: true, messages })
 }
 
-/** Sends a chat request; returns milliseconds to the first byte of the body. */
-export function timeFirstByte(
-  way: ChatWay,
+/** Sends a chat request; returns the milliseconds to the first byte of the body. */
+export function measureTimeToFirstByte(
+  endpoint: ChatEndpoint,
   agent: Agent,
   chat: string,
 ): Promise<number> {
-  const body = bodyOf()
+  const body = createBody()
   const startMs = performance.now()
   return new Promise((resolve, reject) => {
     const headers = {
-      authorization: `Bearer ${way.key}`,
+      authorization: `Bearer ${endpoint.key}`,
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(body),
       [CHAT_HEADER]: chat,
     }
-    const url = `http://${way.address}${PATH}`
+    const url = `http://${endpoint.address}${CHAT_PATH}`
     const req = request(url, { method: 'POST', agent, headers })
     req.once('error', reject)
     req.once('response', (res) => {
@@ -42,30 +42,30 @@
       res.once('error', reject)
       res.once('end', () => {
         if (res.statusCode === 200) resolve(firstMs)
-        else reject(new Error(`answered ${String(res.statusCode)}`))
+        else reject(new Error(`unexpected status ${String(res.statusCode)}`))
       })
     })
     req.end(body)
   })
 }
 
-/** Keeps `concurrency` requests under way for `ms` and returns how many ended. */
+/** Keeps `concurrency` requests in flight for `durationMs`; returns how many finished. */
 export async function runThroughput(
-  way: ChatWay,
+  endpoint: ChatEndpoint,
   concurrency: number,
-  ms: number,
+  durationMs: number,
 ): Promise<number> {
   const agent = new Agent({ keepAlive: true })
-  const endMs = performance.now() + ms
-  let ended = 0
+  const endMs = performance.now() + durationMs
+  let finished = 0
   const worker = async (id: number): Promise<void> => {
     while (performance.now() < endMs) {
-      await timeFirstByte(way, agent, `chat-${id}`)
-      ended += 1
+      await measureTimeToFirstByte(endpoint, agent, `chat-${id}`)
+      finished += 1
     }
   }
   const workers = Array.from({ length: concurrency }, (_, id) => worker(id))
   await Promise.all(workers)
   agent.destroy()
-  return ended
+  return finished
 }
--- a/packages/measure/src/node/control/controlMeasures.ts
+++ b/packages/measure/src/node/control/controlMeasures.ts
@@ -8,7 +8,7 @@
 
 const ROUTER_PROCESSES = 3
 
-/** Figures of the path through a router and of its control work. */
+/** Figures of the request path through a router and of its control work. */
 export const controlMeasures: MeasureGroup = {
   name: 'control',
   run: async () => {
@@ -16,7 +16,7 @@
     const fleet = await startControlFleet(ROUTER_PROCESSES, stats)
     try {
       await sleep(SETTLE_MS)
-      // The path comes first, so that the idle router's code is compiled.
+      // Runs first: by the idle window, the JIT has then compiled the idle router's code.
       const path = await measurePath(fleet)
       return [...path, ...(await measureControlWork(fleet, stats))]
     } finally {
--- a/packages/measure/src/node/control/createStatsReader.ts
+++ b/packages/measure/src/node/control/createStatsReader.ts
@@ -4,20 +4,20 @@
 /** Sums the control bytes that a router reports over StatsD. */
 export interface StatsReader {
   readonly port: number
-  /** Bytes so far, by purpose. */
+  /** Returns the bytes so far, by purpose. */
   controlBytes(): Record<string, number>
   close(): void
 }
 
-const LINE = /^auburnbay\.control\.bytes:(\d+)\|c\|#.*purpose:([\w-]+)/
+const BYTES_METRIC = /^auburnbay\.control\.bytes:(\d+)\|c\|#.*purpose:([\w-]+)/
 
-/** Starts reading on a free port. */
+/** Starts a StatsD listener on a free UDP port. */
 export async function createStatsReader(): Promise<StatsReader> {
   const bytes: Record<string, number> = {}
   const socket = createSocket('udp4')
   socket.on('message', (message) => {
     for (const line of message.toString('utf8').split('\n')) {
-      const [, count, purpose] = LINE.exec(line) ?? []
+      const [, count, purpose] = BYTES_METRIC.exec(line) ?? []
       if (purpose === undefined) continue
       bytes[purpose] = (bytes[purpose] ?? 0) + Number(count)
     }
--- a/packages/measure/src/node/control/forwarder.ts
+++ b/packages/measure/src/node/control/forwarder.ts
@@ -1,19 +1,23 @@
 import { Agent, createServer, request } from 'node:http'
 import { listen } from '@auburnbay/http-utils'
 
-// The least that any router must do: one hop over Node's http, nothing else.
+// Baseline for a router: forwards requests over Node's http and does nothing else.
 const target = process.argv[2] ?? ''
 const agent = new Agent({ keepAlive: true })
 
 const server = createServer((req, res) => {
   const { method, headers, url = '/' } = req
-  const out = request(`http://${target}${url}`, { method, headers, agent })
-  out.once('response', (answer) => {
-    res.writeHead(answer.statusCode ?? 502, answer.headers)
-    answer.pipe(res)
+  const upstreamReq = request(`http://${target}${url}`, {
+    method,
+    headers,
+    agent,
   })
-  out.once('error', () => res.destroy())
-  req.pipe(out)
+  upstreamReq.once('response', (upstreamRes) => {
+    res.writeHead(upstreamRes.statusCode ?? 502, upstreamRes.headers)
+    upstreamRes.pipe(res)
+  })
+  upstreamReq.once('error', () => res.destroy())
+  req.pipe(upstreamReq)
 })
 
 const address = await listen(server, { host: '127.0.0.1', port: 0 })
--- a/packages/measure/src/node/control/measureControlWork.ts
+++ b/packages/measure/src/node/control/measureControlWork.ts
@@ -2,35 +2,34 @@
 import { Agent } from 'node:http'
 import { formatAddress } from '@auburnbay/http-utils'
 import type { Figure } from '../figure.js'
-import { timeFirstByte } from './chatLoad.js'
+import { measureTimeToFirstByte } from './chatLoad.js'
 import {
-  CONTROL_BYTES_PER_S,
-  CONTROL_CORE_SHARE,
-  IDLE_AFTER_MS,
+  MAX_CONTROL_BYTES_PER_S,
+  MAX_CONTROL_CORE_SHARE,
+  IDLE_DELAY_MS,
   IDLE_WINDOW_MS,
-  REQUESTS_PER_ROUTER,
+  ROUTER_REQUESTS_PER_S,
   ROUTERS,
   SETTLE_MS,
   WINDOW_MS,
 } from './constants.js'
 import type { StatsReader } from './createStatsReader.js'
-import { processUsage } from './processUsage.js'
+import { readProcessUsage } from './readProcessUsage.js'
 import type { ControlFleet } from './startControlFleet.js'
 
 const MS_PER_S = 1_000
 
-/** Control work of the first router in one window. */
-interface Window {
-  /** Bytes a second, by purpose. */
+/** Resources that one router used in an observation window. */
+interface ResourceUsage {
+  /** Control bytes per second, by purpose. */
   readonly bytes: Readonly<Record<string, number>>
   readonly totalBytes: number
-  /** Share of a core, the whole process. */
+  /** Share of a core used by the whole process. */
   readonly coreShare: number
   readonly residentBytes: number
 }
 
-/** What is observed, and for how long. */
-interface Observation {
+interface ObserveOptions {
   readonly pid: number
   readonly settleMs: number
   readonly windowMs: number
@@ -39,23 +38,23 @@
 
 async function observe(
   stats: StatsReader,
-  { pid, settleMs, windowMs, during }: Observation,
-): Promise<Window> {
+  { pid, settleMs, windowMs, during }: ObserveOptions,
+): Promise<ResourceUsage> {
   await sleep(settleMs)
-  const usage = processUsage(pid)
-  const before = stats.controlBytes()
+  const usageBefore = readProcessUsage(pid)
+  const bytesBefore = stats.controlBytes()
   await during()
-  const after = stats.controlBytes()
+  const bytesAfter = stats.controlBytes()
   const seconds = windowMs / MS_PER_S
   const bytes: Record<string, number> = {}
   let totalBytes = 0
-  for (const [purpose, count] of Object.entries(after)) {
-    const rate = (count - (before[purpose] ?? 0)) / seconds
+  for (const [purpose, count] of Object.entries(bytesAfter)) {
+    const rate = (count - (bytesBefore[purpose] ?? 0)) / seconds
     bytes[purpose] = rate
     totalBytes += rate
   }
-  const { cpuS, residentBytes } = processUsage(pid)
-  const coreShare = (cpuS - usage.cpuS) / seconds
+  const { cpuS, residentBytes } = readProcessUsage(pid)
+  const coreShare = (cpuS - usageBefore.cpuS) / seconds
   return { bytes, totalBytes, coreShare, residentBytes }
 }
 
@@ -64,21 +63,25 @@
   if (!router) return
   const agent = new Agent({ keepAlive: true })
   const address = formatAddress(router.ready.addresses.callers)
-  const way = { address, key: fleet.callerKey }
-  const pauseMs = MS_PER_S / REQUESTS_PER_ROUTER
+  const endpoint = { address, key: fleet.callerKey }
+  const pauseMs = MS_PER_S / ROUTER_REQUESTS_PER_S
   const sent: Promise<unknown>[] = []
-  for (let spentMs = 0; spentMs < WINDOW_MS; spentMs += pauseMs) {
-    sent.push(timeFirstByte(way, agent, `chat-${sent.length}`))
+  for (let elapsedMs = 0; elapsedMs < WINDOW_MS; elapsedMs += pauseMs) {
+    sent.push(measureTimeToFirstByte(endpoint, agent, `chat-${sent.length}`))
     await sleep(pauseMs)
   }
   await Promise.all(sent)
   agent.destroy()
 }
 
-function toFigures(idle: Window, loaded: Window, peers: number): Figure[] {
+function toFigures(
+  idle: ResourceUsage,
+  loaded: ResourceUsage,
+  peers: number,
+): Figure[] {
   const perPeer = (idle.bytes.peers ?? 0) / peers
   const bytes = { unit: 'bytes/s', timing: true }
-  const today = idle.totalBytes + perPeer * (ROUTERS - 1 - peers)
+  const fleetBytes = idle.totalBytes + perPeer * (ROUTERS - 1 - peers)
   return [
     ...Object.entries(idle.bytes).map(([purpose, value]) => ({
       ...bytes,
@@ -89,21 +92,21 @@
     {
       ...bytes,
       measure: 'control.bytes.idle.9-routers',
-      value: today,
-      bound: CONTROL_BYTES_PER_S,
+      value: fleetBytes,
+      bound: MAX_CONTROL_BYTES_PER_S,
     },
     {
       ...bytes,
       measure: 'control.bytes.loaded.9-routers',
-      value: today + loaded.totalBytes - idle.totalBytes,
-      bound: CONTROL_BYTES_PER_S,
+      value: fleetBytes + loaded.totalBytes - idle.totalBytes,
+      bound: MAX_CONTROL_BYTES_PER_S,
     },
     {
       measure: 'control.cpu.idle',
       value: idle.coreShare,
       unit: 'share of a core, whole process',
       timing: true,
-      bound: CONTROL_CORE_SHARE,
+      bound: MAX_CONTROL_CORE_SHARE,
       knownRed: true,
     },
     {
@@ -121,17 +124,17 @@
   ]
 }
 
-/** Measures bytes and processor time of an idle and a loaded router. */
+/** Measures control bytes, CPU time and memory of an idle and a loaded router. */
 export async function measureControlWork(
   fleet: ControlFleet,
   stats: StatsReader,
 ): Promise<Figure[]> {
   const [first] = fleet.routers
-  // The first one reports metrics a hundred times as often as by default.
+  // Not the first router: it reports metrics a hundred times as often as by default.
   const last = fleet.routers.at(-1)
   const idle = await observe(stats, {
     pid: last?.child.pid ?? 0,
-    settleMs: IDLE_AFTER_MS,
+    settleMs: IDLE_DELAY_MS,
     windowMs: IDLE_WINDOW_MS,
     during: () => sleep(IDLE_WINDOW_MS),
   })
--- a/packages/measure/src/node/control/measurePath.ts
+++ b/packages/measure/src/node/control/measurePath.ts
@@ -3,25 +3,30 @@
 import { formatAddress, type ListenAddress } from '@auburnbay/http-utils'
 import { startProcess } from '@auburnbay/stand-ins'
 import { BoundKind, type Figure } from '../figure.js'
-import { type ChatWay, runThroughput, timeFirstByte } from './chatLoad.js'
+import {
+  type ChatEndpoint,
+  runThroughput,
+  measureTimeToFirstByte,
+} from './chatLoad.js'
 import {
   CONCURRENCY,
   FIRST_BYTE_SAMPLES,
   FIRST_TOKEN_MS,
-  FIRST_TOKEN_SHARE,
-  REQUESTS_PER_ROUTER,
+  MAX_FIRST_TOKEN_SHARE,
+  ROUTER_REQUESTS_PER_S,
   WINDOW_MS,
 } from './constants.js'
-import { processUsage } from './processUsage.js'
+import { readProcessUsage } from './readProcessUsage.js'
 import type { ControlFleet } from './startControlFleet.js'
 
-enum Way {
+/** Path of a chat request to the engine. */
+enum RequestPath {
   Direct = 'direct',
   Forwarder = 'forwarder',
   Router = 'router',
 }
 
-type Ways = Record<Way, ChatWay>
+type Endpoints = Record<RequestPath, ChatEndpoint>
 
 const US_PER_MS = 1_000
 const MS_PER_S = 1_000
@@ -29,18 +34,24 @@
 function percentiles(values: readonly number[]) {
   const histogram = build({ numberOfSignificantValueDigits: 3 })
   for (const value of values) histogram.recordValue(value * US_PER_MS)
-  const at = (share: number): number =>
-    histogram.getValueAtPercentile(share) / US_PER_MS
+  const at = (percentile: number): number =>
+    histogram.getValueAtPercentile(percentile) / US_PER_MS
   return { p50: at(50), p95: at(95) }
 }
 
-async function measureFirstByte(ways: Ways): Promise<Figure[]> {
+async function measureFirstByte(endpoints: Endpoints): Promise<Figure[]> {
   const agent = new Agent({ keepAlive: true })
-  const times: Record<Way, number[]> = { direct: [], forwarder: [], router: [] }
-  // Taking turns exposes every way to the same load of the machine.
+  const times: Record<RequestPath, number[]> = {
+    direct: [],
+    forwarder: [],
+    router: [],
+  }
+  // Interleaved, so that the load of the machine affects every path alike.
   for (let sample = 0; sample < FIRST_BYTE_SAMPLES; sample += 1)
-    for (const way of Object.values(Way))
-      times[way].push(await timeFirstByte(ways[way], agent, `chat-${sample}`))
+    for (const path of Object.values(RequestPath))
+      times[path].push(
+        await measureTimeToFirstByte(endpoints[path], agent, `chat-${sample}`),
+      )
   agent.destroy()
   const direct = percentiles(times.direct)
   const forwarder = percentiles(times.forwarder)
@@ -63,21 +74,25 @@
       value: Math.max(0, router.p95 - direct.p95) / FIRST_TOKEN_MS,
       unit: 'share of 500 ms',
       timing: true,
-      bound: FIRST_TOKEN_SHARE,
+      bound: MAX_FIRST_TOKEN_SHARE,
       baseline: Math.max(0, forwarder.p95 - direct.p95) / FIRST_TOKEN_MS,
     },
   ]
 }
 
-async function measureThroughput(ways: Ways, pid: number): Promise<Figure[]> {
-  const perSecond = async (way: Way): Promise<number> =>
-    ((await runThroughput(ways[way], CONCURRENCY, WINDOW_MS)) * MS_PER_S) /
+async function measureThroughput(
+  endpoints: Endpoints,
+  pid: number,
+): Promise<Figure[]> {
+  const perSecond = async (path: RequestPath): Promise<number> =>
+    ((await runThroughput(endpoints[path], CONCURRENCY, WINDOW_MS)) *
+      MS_PER_S) /
     WINDOW_MS
-  const direct = await perSecond(Way.Direct)
-  const forwarder = await perSecond(Way.Forwarder)
-  const before = processUsage(pid)
-  const router = await perSecond(Way.Router)
-  const cpuS = processUsage(pid).cpuS - before.cpuS
+  const direct = await perSecond(RequestPath.Direct)
+  const forwarder = await perSecond(RequestPath.Forwarder)
+  const before = readProcessUsage(pid)
+  const router = await perSecond(RequestPath.Router)
+  const cpuS = readProcessUsage(pid).cpuS - before.cpuS
   const requests = (router * WINDOW_MS) / MS_PER_S
   return [
     {
@@ -98,7 +113,7 @@
       value: router,
       unit: 'requests/s',
       timing: true,
-      bound: REQUESTS_PER_ROUTER,
+      bound: ROUTER_REQUESTS_PER_S,
       boundKind: BoundKind.AtLeast,
     },
     {
@@ -110,18 +125,19 @@
   ]
 }
 
-/** Compares the way through a router with a direct call and a bare forwarder. */
+/** Compares the path through a router with a direct call and a plain forwarder. */
 export async function measurePath(fleet: ControlFleet): Promise<Figure[]> {
   const [engine] = fleet.engines
   const [router] = fleet.routers
-  if (!engine || !router) throw new Error('the fleet is empty')
+  if (!engine || !router)
+    throw new Error('the fleet has no engine or no router')
   const target = formatAddress(engine.address)
   const forwarder = await startProcess<{ readonly address: ListenAddress }>(
     new URL('./forwarder.js', import.meta.url).href,
     [target],
   )
   const key = fleet.callerKey
-  const ways = {
+  const endpoints = {
     direct: { address: target, key },
     forwarder: { address: formatAddress(forwarder.ready.address), key },
     router: { address: formatAddress(router.ready.addresses.callers), key },
@@ -129,8 +145,8 @@
   const { pid = 0 } = router.child
   try {
     return [
-      ...(await measureFirstByte(ways)),
-      ...(await measureThroughput(ways, pid)),
+      ...(await measureFirstByte(endpoints)),
+      ...(await measureThroughput(endpoints, pid)),
     ]
   } finally {
     await forwarder.stop()
--- a/packages/measure/src/node/control/readProcessUsage.ts
+++ b/packages/measure/src/node/control/readProcessUsage.ts
@@ -1,21 +1,21 @@
 import { readFileSync } from 'node:fs'
 
-/** Clock ticks a second of the process accounting. */
+/** Clock ticks per second in /proc/PID/stat. */
 const TICKS_PER_S = 100
 const KIB = 1_024
 const USER_TICKS_FIELD = 11
 const SYSTEM_TICKS_FIELD = 12
 
-/** What a process has used so far. */
+/** Resources that a process has used so far. */
 export interface ProcessUsage {
-  /** Seconds of processor time. */
+  /** CPU time, in seconds. */
   readonly cpuS: number
-  /** Bytes resident in memory. */
+  /** Resident memory, in bytes. */
   readonly residentBytes: number
 }
 
-/** Reads the accounting of a process from /proc. */
-export function processUsage(pid: number): ProcessUsage {
+/** Reads the CPU time and resident memory of a process from /proc. */
+export function readProcessUsage(pid: number): ProcessUsage {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8')
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ')
   const ticks =
--- a/packages/measure/src/node/control/startControlFleet.ts
+++ b/packages/measure/src/node/control/startControlFleet.ts
@@ -20,7 +20,7 @@
 
 type RouterProcess = ReadyProcess<{ readonly addresses: DaemonAddresses }>
 
-/** Routers as processes of their own, and the platform they need. */
+/** Router processes and the stand-ins that they need. */
 export interface ControlFleet {
   readonly routers: readonly RouterProcess[]
   readonly engines: readonly EngineStandIn[]
@@ -29,13 +29,13 @@
 }
 
 const PURPOSE = 'measure'
-const TOKEN = createRouterSecrets(PURPOSE).admin
+const ADMIN_TOKEN = createRouterSecrets(PURPOSE).admin
 const METRICS_HOST = { host: '127.0.0.1' }
-const METRICS_MS = 100
+const METRICS_INTERVAL_MS = 100
 const CALL_TIMEOUT_MS = 10_000
 const daemonUrl = new URL('bin.js', import.meta.resolve('@auburnbay/daemon'))
 
-function listRouters(
+function publishRouters(
   vmList: VmListStandIn,
   routers: readonly RouterProcess[],
 ): void {
@@ -48,8 +48,8 @@
   }))
 }
 
-async function configure(
-  admin: string,
+async function applyConfiguration(
+  adminAddress: string,
   engines: readonly EngineStandIn[],
 ): Promise<string> {
   const key = createCallerKey('corrib', 'measure')
@@ -66,17 +66,19 @@
   ]
   const reply = await requestJson({
     method: 'POST',
-    url: `http://${admin}/config/patches`,
-    headers: { authorization: `Bearer ${TOKEN}` },
+    url: `http://${adminAddress}/config/patches`,
+    headers: { authorization: `Bearer ${ADMIN_TOKEN}` },
     body: { baseVersion: 0, operations },
     timeoutMs: CALL_TIMEOUT_MS,
   })
   if (reply.isErr() || reply.value.status !== 200)
-    throw new Error(`the configuration was refused: ${JSON.stringify(reply)}`)
+    throw new Error(
+      `the router rejected the configuration: ${JSON.stringify(reply)}`,
+    )
   return key.text
 }
 
-/** Starts `count` routers; the first reports to `stats` often, the others as by default. */
+/** Starts `count` routers. Only the first reports to `stats`, at a shorter interval than the default. */
 export async function startControlFleet(
   count: number,
   stats: StatsReader,
@@ -86,19 +88,19 @@
   const engines: EngineStandIn[] = []
   for (let index = 0; index < ENGINES; index += 1)
     engines.push(await createEngine({ words: 1 }))
-  // What the others report is received, as it would be, and not summed.
-  const unread = await createStatsReader()
-  const folder = mkdtempSync(join(tmpdir(), 'auburnbay-measure-'))
+  // Receives the metrics of the other routers, as in a deployment, but is not evaluated.
+  const ignoredStats = await createStatsReader()
+  const directory = mkdtempSync(join(tmpdir(), 'auburnbay-measure-'))
 
   function writeSettings(id: string, isFirst: boolean): string {
     const metrics = isFirst
-      ? { ...METRICS_HOST, port: stats.port, everyMs: METRICS_MS }
-      : { ...METRICS_HOST, port: unread.port }
+      ? { ...METRICS_HOST, port: stats.port, everyMs: METRICS_INTERVAL_MS }
+      : { ...METRICS_HOST, port: ignoredStats.port }
     const settings: Settings = {
       ...createRouterSettings({ id, log, vmList, purpose: PURPOSE }),
       metrics,
     }
-    const path = join(folder, `${id}.json`)
+    const path = join(directory, `${id}.json`)
     writeFileSync(path, JSON.stringify(settings))
     return path
   }
@@ -110,15 +112,15 @@
   }
   const [first] = routers
   if (!first) throw new Error('no router was started')
-  listRouters(vmList, routers)
-  const admin = formatAddress(first.ready.addresses.admin)
+  publishRouters(vmList, routers)
+  const adminAddress = formatAddress(first.ready.addresses.admin)
   return {
     routers,
     engines,
-    callerKey: await configure(admin, engines),
+    callerKey: await applyConfiguration(adminAddress, engines),
     stop: async () => {
       await Promise.all(routers.map((router) => router.stop()))
-      unread.close()
+      ignoredStats.close()
       const standIns = [log, vmList, ...engines]
       await Promise.all(standIns.map((standIn) => standIn.close()))
     },
