--- a/packages/measure/src/node/stopping/callChat.ts
+++ b/packages/measure/src/node/stopping/callChat.ts
@@ -1,6 +1,6 @@
 import { type Agent, type IncomingHttpHeaders, request } from 'node:http'
 import { formatAddress } from '@auburnbay/http-utils'
-import { answerWords } from '@auburnbay/stand-ins'
+import { createResponseWords } from '@auburnbay/stand-ins'
 import type { RouterProcess } from './forkRouter.js'
 
 /** How a streamed chat ended for its caller. */
@@ -50,7 +50,7 @@
       ? ChatOutcome.NotRun
       : ChatOutcome.Failed
   const messages = [{ content: call.prompt }]
-  const expected = answerWords({ messages }, call.words).join('')
+  const expected = createResponseWords({ messages }, call.words).join('')
   const isExpected = joinContent(text) === expected && text.includes('[DONE]')
   return isExpected ? ChatOutcome.Complete : ChatOutcome.Wrong
 }
--- a/packages/stand-ins/src/node/bin.ts
+++ b/packages/stand-ins/src/node/bin.ts
@@ -6,7 +6,7 @@
 
 const kind = process.argv[2]
 
-function start(): Promise<StandIn> {
+function startStandIn(): Promise<StandIn> {
   switch (kind) {
     case 'log-service':
       return createLogService()
@@ -18,12 +18,12 @@
       return createPlainService()
     default:
       throw new Error(
-        `unknown stand-in ${String(kind)}: name log-service, vm-list, engine or plain-service`,
+        `unknown stand-in ${String(kind)}: expected log-service, vm-list, engine or plain-service`,
       )
   }
 }
 
-const standIn = await start()
+const standIn = await startStandIn()
 process.send?.({ type: 'ready', address: standIn.address })
 process.once('SIGTERM', () => {
   void standIn.close().then(() => process.exit(0))
--- a/packages/stand-ins/src/node/engine/createEngine.ts
+++ b/packages/stand-ins/src/node/engine/createEngine.ts
@@ -6,15 +6,15 @@
 import {
   DEFAULT_CACHE_CHATS,
   DEFAULT_ENGINE_WORDS,
-  DEFAULT_KEPT_RUNS,
+  DEFAULT_RESUMABLE_RUNS,
 } from '../constants.js'
 import { createStandIn, type StandInRequest } from '../server/createStandIn.js'
-import { createCacheEvents } from './cacheEvents.js'
+import { createCacheEvents } from './createCacheEvents.js'
 import { createEngineFaults, type EngineFaults } from './engineFaults.js'
-import { type EngineRun, foreignRun } from './engineRun.js'
+import { type EngineRun, createForeignRun } from './engineRun.js'
 import type { EngineOptions, EngineStandIn } from './engineStandIn.js'
-import { createEngineOrders, ORDER_PATH } from './orders.js'
-import { generate } from './generate.js'
+import { createEngineOrders, ORDER_PATH } from './createEngineOrders.js'
+import { generateEvents } from './generateEvents.js'
 import { writeStream } from './writeStream.js'
 
 interface ChatBody {
@@ -26,8 +26,8 @@
 const RUN_STREAM_PATH = /^\/v1\/runs\/([\w-]+)\/stream$/
 const RUN_PATH = /^\/v1\/runs\/([\w-]+)$/
 
-/** The words an engine answers with; the prompt alone decides them. */
-export function answerWords(body: ChatBody, words: number): string[] {
+/** Returns the words of an engine's response; they depend on the prompt alone. */
+export function createResponseWords(body: ChatBody, words: number): string[] {
   const prompt = body.messages?.at(-1)?.content ?? ''
   return Array.from(
     { length: words },
@@ -48,16 +48,18 @@
   }
   const orders = createEngineOrders(options.orders)
   const faults = createEngineFaults()
-  const script: Partial<EngineFaults>[] = []
-  const taken = new WeakMap<object, EngineFaults>()
+  const queuedFaults: Partial<EngineFaults>[] = []
+  const faultsByRequest = new WeakMap<object, EngineFaults>()
   const runs: EngineRun[] = []
-  const kept = new LRUCache<string, EngineRun>({ max: DEFAULT_KEPT_RUNS })
-  const progressOf = new WeakMap<EngineRun, EventEmitter>()
+  const resumableRuns = new LRUCache<string, EngineRun>({
+    max: DEFAULT_RESUMABLE_RUNS,
+  })
+  const progressByRun = new WeakMap<EngineRun, EventEmitter>()
   const cacheEvents = createCacheEvents(() => performance.now())
   const cache = new LRUCache<string, true>({
     max: resolved.cacheChats,
     dispose: (_, chat, reason) => {
-      if (reason === 'evict') cacheEvents.add('evicted', chat)
+      if (reason === 'evict') cacheEvents.record('evicted', chat)
     },
   })
   let inFlight = 0
@@ -71,23 +73,23 @@
       idempotencyKey: headers['idempotency-key'] as string | undefined,
       chat,
       cacheHit: cache.get(chat) ?? false,
-      words: answerWords(call.body ?? {}, resolved.words),
+      words: createResponseWords(call.body ?? {}, resolved.words),
       events: [],
       finished: false,
       cancelled: false,
     }
     if (chat !== '') {
       cache.set(chat, true)
-      cacheEvents.add('stored', chat)
+      cacheEvents.record('stored', chat)
     }
     runs.push(run)
-    kept.set(run.runId, run)
+    resumableRuns.set(run.runId, run)
     const progress = new EventEmitter()
-    progressOf.set(run, progress)
+    progressByRun.set(run, progress)
     return run
   }
 
-  function answerHeaders(run: EngineRun): Record<string, string> {
+  function createResponseHeaders(run: EngineRun): Record<string, string> {
     return {
       'x-request-id': run.requestId,
       'x-run-id': run.runId,
@@ -95,101 +97,103 @@
     }
   }
 
-  async function stream(
+  async function sendStream(
     call: StandInRequest,
-    own: EngineRun,
+    ownRun: EngineRun,
     from: number,
-    switches: EngineFaults,
+    activeFaults: EngineFaults,
   ): Promise<void> {
     const { res } = call
-    const run = switches.crossAnswers ? foreignRun(own) : own
+    const run = activeFaults.crossAnswers ? createForeignRun(ownRun) : ownRun
     res.writeHead(200, {
       'content-type': 'text/event-stream',
-      ...answerHeaders(run),
+      ...createResponseHeaders(run),
     })
     res.flushHeaders()
-    const progress = progressOf.get(run) ?? new EventEmitter()
-    await writeStream({ run, res, from, faults: switches, progress })
+    const progress = progressByRun.get(run) ?? new EventEmitter()
+    await writeStream({ run, res, from, faults: activeFaults, progress })
   }
 
-  async function answerWhole(
+  async function sendCompletion(
     call: StandInRequest,
-    own: EngineRun,
-    switches: EngineFaults,
+    ownRun: EngineRun,
+    activeFaults: EngineFaults,
   ): Promise<void> {
     const { res } = call
-    const run = switches.crossAnswers ? foreignRun(own) : own
+    const run = activeFaults.crossAnswers ? createForeignRun(ownRun) : ownRun
     while (!run.finished && !res.destroyed) await sleep(1)
     const message = { role: 'assistant', content: run.words.join('') }
     const reply = { id: run.runId, choices: [{ index: 0, message }] }
     const text = JSON.stringify(reply)
-    if (switches.cutAfterBytes < 0) {
-      sendJson(res, 200, reply, answerHeaders(run))
+    if (activeFaults.cutAfterBytes < 0) {
+      sendJson(res, 200, reply, createResponseHeaders(run))
       return
     }
     res.writeHead(200, {
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(text),
-      ...answerHeaders(run),
+      ...createResponseHeaders(run),
     })
-    const part = text.slice(0, switches.cutAfterBytes % text.length)
+    const part = text.slice(0, activeFaults.cutAfterBytes % text.length)
     res.write(part, () => res.destroy())
     if (part === '') res.destroy()
   }
 
-  async function complete(
+  async function handleChat(
     call: StandInRequest,
-    switches: EngineFaults,
+    activeFaults: EngineFaults,
   ): Promise<void> {
     const { res } = call
-    if (switches.refuse) {
+    if (activeFaults.refuse) {
       const headers = { 'x-refused': 'before-running' }
       sendJson(res, 503, { error: 'refused' }, headers)
       return
     }
     const run = startRun(call)
-    // A silent engine is stuck: its run goes on until the caller leaves.
-    if (switches.silent) return
-    const progress = progressOf.get(run)
-    void generate(run, resolved.wordDelayMs, () => progress?.emit('event'))
-    if (switches.resetAfter) {
+    // A silent engine hangs: its run stays open until the caller disconnects.
+    if (activeFaults.silent) return
+    const progress = progressByRun.get(run)
+    void generateEvents(run, resolved.wordDelayMs, () =>
+      progress?.emit('event'),
+    )
+    if (activeFaults.resetAfter) {
       res.destroy()
       return
     }
-    if (switches.delayMs > 0) await sleep(switches.delayMs)
+    if (activeFaults.delayMs > 0) await sleep(activeFaults.delayMs)
     if (res.destroyed) run.cancelled = true
     if ((call.body as ChatBody | undefined)?.stream)
-      await stream(call, run, 0, switches)
-    else await answerWhole(call, run, switches)
+      await sendStream(call, run, 0, activeFaults)
+    else await sendCompletion(call, run, activeFaults)
   }
 
-  async function resume(
+  async function resumeStream(
     call: StandInRequest,
     runId: string,
-    switches: EngineFaults,
+    activeFaults: EngineFaults,
   ): Promise<void> {
     const { res, url } = call
-    const run = switches.forgetRuns ? undefined : kept.get(runId)
+    const run = activeFaults.forgetRuns ? undefined : resumableRuns.get(runId)
     if (!run) sendJson(res, 404, { error: 'unknown run' })
-    else if (switches.silent) return
+    else if (activeFaults.silent) return
     else {
-      if (switches.delayMs > 0) await sleep(switches.delayMs)
+      if (activeFaults.delayMs > 0) await sleep(activeFaults.delayMs)
       const from = Number(url.searchParams.get('from') ?? 0)
-      await stream(call, run, from, switches)
+      await sendStream(call, run, from, activeFaults)
     }
   }
 
-  function cancel(call: StandInRequest, runId: string): void {
-    const run = kept.get(runId)
+  function cancelRun(call: StandInRequest, runId: string): void {
+    const run = resumableRuns.get(runId)
     if (run && !run.finished) run.cancelled = true
     sendJson(call.res, run ? 200 : 404, {})
   }
 
   async function handle(call: StandInRequest): Promise<void> {
     const { method, url, res, req } = call
-    const switches = taken.get(req) ?? faults
-    const runOfStream = RUN_STREAM_PATH.exec(url.pathname)?.[1]
-    const runOfPath = RUN_PATH.exec(url.pathname)?.[1]
+    const activeFaults = faultsByRequest.get(req) ?? faults
+    const streamRunId = RUN_STREAM_PATH.exec(url.pathname)?.[1]
+    const runId = RUN_PATH.exec(url.pathname)?.[1]
     if (method === 'PUT' && url.pathname === '/faults') {
       Object.assign(faults, call.body)
       sendJson(res, 200, faults)
@@ -197,35 +201,34 @@
     else if (url.pathname === ORDER_PATH) await orders.handle(call, inFlight)
     else if (url.pathname === '/cache-events' && resolved.publishesCacheEvents)
       sendJson(res, 200, {
-        events: cacheEvents.from(Number(url.searchParams.get('from'))),
+        events: cacheEvents.readFrom(Number(url.searchParams.get('from'))),
       })
     else if (url.pathname === '/runs') sendJson(res, 200, runs)
-    else if (runOfStream !== undefined)
-      await resume(call, runOfStream, switches)
-    else if (runOfPath !== undefined && method === 'DELETE')
-      cancel(call, runOfPath)
+    else if (streamRunId !== undefined)
+      await resumeStream(call, streamRunId, activeFaults)
+    else if (runId !== undefined && method === 'DELETE') cancelRun(call, runId)
     else if (url.pathname === CHAT_PATH) {
       inFlight += 1
       res.once('close', () => {
         inFlight -= 1
       })
-      await complete(call, switches)
+      await handleChat(call, activeFaults)
     } else sendJson(res, 404, { error: 'unknown path' })
   }
 
   const standIn = await createStandIn(handle, address, (req) => {
     const path = (req.url ?? '').split('?')[0] ?? ''
     if (path !== CHAT_PATH && !RUN_STREAM_PATH.test(path)) return true
-    const switches = { ...faults, ...script.shift() }
-    taken.set(req, switches)
-    if (switches.resetBefore) req.socket.destroy()
-    return !switches.resetBefore
+    const activeFaults = { ...faults, ...queuedFaults.shift() }
+    faultsByRequest.set(req, activeFaults)
+    if (activeFaults.resetBefore) req.socket.destroy()
+    return !activeFaults.resetBefore
   })
   return {
     ...standIn,
     orders,
     faults,
-    queuedFaults: script,
+    queuedFaults,
     cacheEvents,
     runs,
     options: resolved,
--- a/packages/stand-ins/src/node/engine/orders.ts
+++ b/packages/stand-ins/src/node/engine/createEngineOrders.ts
@@ -2,18 +2,18 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { StandInRequest } from '../server/createStandIn.js'
 
-/** How an engine's stand-in takes orders. */
+/** Options for {@link createEngineOrders}. */
 export interface EngineOrderOptions {
-  /** Refuses an order with a lower token than an earlier one. @default true */
+  /** Rejects an order whose token is lower than an earlier one. @default true */
   readonly checksFencing?: boolean
-  /** Milliseconds that an order takes. @default 0 */
+  /** Time that applying an order takes, in milliseconds. @default 0 */
   readonly applyMs?: number
-  /** Weight store that loads are read from; none by default. */
+  /** Weight store that models are loaded from; none by default. */
   readonly weightStoreUrl?: string
 }
 
-/** What an engine holds. */
-export interface HeldState {
+/** Model, adapters and role that an engine has loaded. */
+export interface LoadedState {
   readonly model: string
   readonly modelVersion: string
   readonly adapters: Readonly<Record<string, string>>
@@ -23,59 +23,63 @@
 /** An order that an engine has applied. */
 export interface AppliedOrder {
   readonly token: number
-  readonly state: HeldState
+  readonly state: LoadedState
   /** Requests in flight when it was applied. */
   readonly inFlight: number
 }
 
-/** The orders of one engine's stand-in. */
+/** State of an engine stand-in and the orders that it has applied. */
 export interface EngineOrders {
-  readonly state: HeldState
+  readonly state: LoadedState
   readonly applied: readonly AppliedOrder[]
-  /** Answers calls to `/orders/state`. */
+  /** Handles requests to `/orders/state`. */
   handle(call: StandInRequest, inFlight: number): Promise<void>
 }
 
 const WEIGHT_TIMEOUT_MS = 5_000
 
-/** Path of the engine's state. */
+/** Path at which an engine's state is read and ordered. */
 export const ORDER_PATH = '/orders/state'
 
-/** Creates the part of an engine's stand-in that takes orders. */
+/** Creates the part of an engine stand-in that applies orders. */
 export function createEngineOrders(
   options: EngineOrderOptions = {},
 ): EngineOrders {
   const { checksFencing = true, applyMs = 0, weightStoreUrl } = options
   const applied: AppliedOrder[] = []
   let highestToken = -1
-  let state: HeldState = {
+  let state: LoadedState = {
     model: 'base',
     modelVersion: '1',
     adapters: {},
     role: 'mixed',
   }
 
-  async function load(wanted: HeldState): Promise<boolean> {
-    const isHeld =
-      wanted.model === state.model && wanted.modelVersion === state.modelVersion
-    if (weightStoreUrl === undefined || isHeld) return true
+  async function loadWeights(desired: LoadedState): Promise<boolean> {
+    const isLoaded =
+      desired.model === state.model &&
+      desired.modelVersion === state.modelVersion
+    if (weightStoreUrl === undefined || isLoaded) return true
     const reply = await requestJson({
       method: 'GET',
-      url: `${weightStoreUrl}/weights/${wanted.model}`,
+      url: `${weightStoreUrl}/weights/${desired.model}`,
       timeoutMs: WEIGHT_TIMEOUT_MS,
     })
     return reply.isOk() && reply.value.status === 200
   }
 
-  async function apply(call: StandInRequest, inFlight: number): Promise<void> {
-    const order = call.body as { token: number; state: HeldState }
+  async function applyOrder(
+    call: StandInRequest,
+    inFlight: number,
+  ): Promise<void> {
+    const order = call.body as { token: number; state: LoadedState }
     if (checksFencing && order.token < highestToken) {
       sendJson(call.res, 409, { error: 'old fencing token', highestToken })
       return
     }
     highestToken = Math.max(highestToken, order.token)
     if (applyMs > 0) await sleep(applyMs)
-    if (!(await load(order.state))) {
+    if (!(await loadWeights(order.state))) {
       sendJson(call.res, 503, { error: 'the weight store refused' })
       return
     }
@@ -90,7 +94,7 @@
     },
     applied,
     async handle(call, inFlight) {
-      if (call.method === 'PUT') await apply(call, inFlight)
+      if (call.method === 'PUT') await applyOrder(call, inFlight)
       else sendJson(call.res, 200, state)
     },
   }
--- a/packages/stand-ins/src/node/engine/engineFaults.ts
+++ b/packages/stand-ins/src/node/engine/engineFaults.ts
@@ -1,30 +1,30 @@
-/** Fault switches of an engine's stand-in. */
+/** Injectable faults of an engine stand-in. */
 export interface EngineFaults {
-  /** Refuses new work with 503 before running it. */
+  /** Rejects requests with 503 before running them. */
   refuse: boolean
-  /** Closes connections on the head of a request, before reading its body. */
+  /** Closes the connection on the head of a request, before reading its body. */
   resetBefore: boolean
-  /** Runs the request, then closes the connection without an answer. */
+  /** Runs the request, then closes the connection without a response. */
   resetAfter: boolean
-  /** Takes the request, runs it and never answers. */
+  /** Runs the request and never responds. */
   silent: boolean
-  /** Cuts the stream after so many events; negative is never. */
+  /** Cuts the connection after this many events; off if negative. */
   cutAfterEvents: number
-  /** Cuts the stream after so many bytes of a connection; negative is never. */
+  /** Cuts the connection after this many bytes; off if negative. */
   cutAfterBytes: number
-  /** Sends nothing more after so many events of a connection; negative is never. */
+  /** Stops sending after this many events of a connection; off if negative. */
   silentAfterEvents: number
   /** Ends the stream cleanly, without its end marker. */
   withholdEnd: boolean
-  /** Answers with another request's answer, under that one's identity. */
+  /** Sends the response of another request, with that request's id. */
   crossAnswers: boolean
   /** Forgets runs, so that streams cannot be resumed. */
   forgetRuns: boolean
-  /** Milliseconds before the first byte. */
+  /** Delay before the first byte, in milliseconds. */
   delayMs: number
 }
 
-/** Returns switches that are all off. */
+/** Creates faults that are all off. */
 export function createEngineFaults(): EngineFaults {
   return {
     refuse: false,
--- a/packages/stand-ins/src/node/engine/engineRun.ts
+++ b/packages/stand-ins/src/node/engine/engineRun.ts
@@ -1,29 +1,31 @@
 import { randomUUID } from 'node:crypto'
 
-/** One execution, as the engine itself records it. */
+/** Record of one execution in an engine. */
 export interface EngineRun {
   readonly runId: string
   readonly requestId: string
   readonly idempotencyKey?: string
   readonly chat: string
   readonly cacheHit: boolean
-  /** The words of the answer. */
+  /** Words of the response. */
   readonly words: readonly string[]
   /** Events generated so far, as sent. */
   readonly events: string[]
   finished: boolean
-  /** Whether a caller cancelled it before its end. */
+  /** Whether a caller cancelled the run before its end. */
   cancelled: boolean
 }
 
-/** Returns the whole answer of a run as an event stream. */
+/** Returns the complete event stream of a run. */
 export function streamText(run: EngineRun): string {
-  const words = run.words.map((word, index) => wordEvent(run, index, word))
-  return [...words, endEvent(run)].join('')
+  const words = run.words.map((word, index) =>
+    createWordEvent(run, index, word),
+  )
+  return [...words, createEndEvent(run)].join('')
 }
 
-/** Returns the event that carries one word. */
-export function wordEvent(
+/** Creates the event that carries one word. */
+export function createWordEvent(
   run: EngineRun,
   index: number,
   content: string,
@@ -32,16 +34,16 @@
   return `id: ${index}\ndata: ${JSON.stringify(chunk)}\n\n`
 }
 
-/** Returns the event that ends a run's stream. */
-export function endEvent(run: EngineRun): string {
+/** Creates the event that ends a run's stream. */
+export function createEndEvent(run: EngineRun): string {
   return `id: ${run.words.length}\ndata: [DONE]\n\n`
 }
 
-/** Returns a finished run of another request, of the same length. */
-export function foreignRun(own: EngineRun): EngineRun {
+/** Creates a finished run of another request with as many words. */
+export function createForeignRun(own: EngineRun): EngineRun {
   const words = own.words.map((_, index) => `foreign#${index} `)
   const ids = { runId: randomUUID(), requestId: randomUUID() }
   const run = { ...own, ...ids, words, finished: true }
-  const events = words.map((word, index) => wordEvent(run, index, word))
-  return { ...run, events: [...events, endEvent(run)] }
+  const events = words.map((word, index) => createWordEvent(run, index, word))
+  return { ...run, events: [...events, createEndEvent(run)] }
 }
--- a/packages/stand-ins/src/node/engine/engineStandIn.ts
+++ b/packages/stand-ins/src/node/engine/engineStandIn.ts
@@ -1,30 +1,30 @@
 import type { StandIn } from '../server/standIn.js'
-import type { CacheEvents } from './cacheEvents.js'
+import type { CacheEvents } from './createCacheEvents.js'
 import type { EngineFaults } from './engineFaults.js'
 import type { EngineRun } from './engineRun.js'
-import type { EngineOrderOptions, EngineOrders } from './orders.js'
+import type { EngineOrderOptions, EngineOrders } from './createEngineOrders.js'
 
-/** How an engine's stand-in behaves. */
+/** Options of an engine stand-in. */
 export interface EngineOptions {
-  /** Chats the prompt cache holds. @default 64 */
+  /** Chats that the prompt cache holds. @default 64 */
   readonly cacheChats?: number
-  /** Milliseconds between two words. @default 0 */
+  /** Delay before each word, in milliseconds. @default 0 */
   readonly wordDelayMs?: number
   /** Whether cache events are published. @default false */
   readonly publishesCacheEvents?: boolean
-  /** Words of an answer. @default 12 */
+  /** Words of a response. @default 12 */
   readonly words?: number
-  /** How it takes orders. */
+  /** How orders are applied. */
   readonly orders?: EngineOrderOptions
 }
 
-/** A model engine's stand-in. */
+/** Stand-in for a model engine. */
 export interface EngineStandIn extends StandIn {
   readonly faults: EngineFaults
   readonly cacheEvents: CacheEvents
-  /** Switches on top of `faults` for the next requests, one entry each. */
+  /** Faults that override `faults` for the next requests, one entry per request. */
   readonly queuedFaults: Partial<EngineFaults>[]
-  /** What truly ran, in order. */
+  /** All runs, in order of their start. */
   readonly runs: readonly EngineRun[]
   readonly options: Required<Omit<EngineOptions, 'orders'>>
   readonly orders: EngineOrders
--- a/packages/stand-ins/src/node/engine/generate.ts
+++ b/packages/stand-ins/src/node/engine/generateEvents.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
-import { endEvent, type EngineRun, wordEvent } from './engineRun.js'
+import { createEndEvent, type EngineRun, createWordEvent } from './engineRun.js'
 
-/** Generates a run's events; goes on when a connection is cut. */
-export async function generate(
+/** Generates a run's events, independently of the connections that stream them. */
+export async function generateEvents(
   run: EngineRun,
   wordDelayMs: number,
   onEvent: () => void,
@@ -10,11 +10,11 @@
   for (const [index, word] of run.words.entries()) {
     if (wordDelayMs > 0) await sleep(wordDelayMs)
     if (run.cancelled) break
-    run.events.push(wordEvent(run, index, word))
+    run.events.push(createWordEvent(run, index, word))
     onEvent()
   }
   if (!run.cancelled) {
-    run.events.push(endEvent(run))
+    run.events.push(createEndEvent(run))
     run.finished = true
   }
   onEvent()
--- a/packages/stand-ins/src/node/engine/writeStream.ts
+++ b/packages/stand-ins/src/node/engine/writeStream.ts
@@ -4,47 +4,48 @@
 import type { EngineFaults } from './engineFaults.js'
 import type { EngineRun } from './engineRun.js'
 
-/** One connection that carries a run's events from a number on. */
-export interface StreamWriting {
+/** Options for {@link writeStream}. */
+export interface WriteStreamOptions {
   readonly run: EngineRun
   readonly res: ServerResponse
+  /** Index of the first event to send. */
   readonly from: number
   readonly faults: EngineFaults
-  /** Emits `event` whenever the run has gone on. */
+  /** Emits `event` when the run has new events or was cancelled. */
   readonly progress: EventEmitter
 }
 
-function isLast(run: EngineRun, number: number): boolean {
-  return number === run.words.length
+function isLast(run: EngineRun, index: number): boolean {
+  return index === run.words.length
 }
 
-/** Cuts the connection once what was written has left. */
-function cut(res: ServerResponse, rest: string): void {
-  res.write(rest, () => res.destroy())
-  if (rest === '') res.destroy()
+/** Destroys the connection after the last bytes have been flushed. */
+function cutConnection(res: ServerResponse, lastBytes: string): void {
+  res.write(lastBytes, () => res.destroy())
+  if (lastBytes === '') res.destroy()
 }
 
-/** Writes a run's events and applies the fault switches. */
-export async function writeStream(writing: StreamWriting): Promise<void> {
-  const { run, res, from, faults, progress } = writing
+/** Writes a run's events to a response and injects faults. */
+export async function writeStream(options: WriteStreamOptions): Promise<void> {
+  const { run, res, from, faults, progress } = options
   let bytesLeft = faults.cutAfterBytes
   let sent = 0
-  for (let number = from; number <= run.words.length; number += 1) {
-    while (run.events.length <= number && !run.cancelled)
+  for (let index = from; index <= run.words.length; index += 1) {
+    while (run.events.length <= index && !run.cancelled)
       await once(progress, 'event')
-    const event = run.events[number]
+    const event = run.events[index]
     if (event === undefined || res.destroyed) break
     if (sent === faults.silentAfterEvents) return
     if (sent === faults.cutAfterEvents) {
-      cut(res, '')
+      cutConnection(res, '')
       return
     }
     if (bytesLeft >= 0 && bytesLeft < event.length) {
-      cut(res, event.slice(0, bytesLeft))
+      cutConnection(res, event.slice(0, bytesLeft))
       return
     }
     if (bytesLeft >= 0) bytesLeft -= event.length
-    if (isLast(run, number) && faults.withholdEnd) break
+    if (isLast(run, index) && faults.withholdEnd) break
     res.write(event)
     sent += 1
   }
--- a/packages/stand-ins/src/node/logService/createLogService.ts
+++ b/packages/stand-ins/src/node/logService/createLogService.ts
@@ -7,12 +7,12 @@
 import { createLogFaults, type LogFaults } from './logFaults.js'
 import { LogStream } from './logStream.js'
 
-/** The log service's stand-in, with its fault switches. */
+/** Stand-in for the log service. */
 export interface LogServiceStandIn extends StandIn {
   readonly faults: LogFaults
-  /** Returns a stream, created when first named. */
+  /** Returns a stream; creates it on first use. */
   stream(name: string): LogStream
-  /** Starts over with empty streams and another identity. */
+  /** Replaces the log by an empty one with a new identity. */
   replace(): void
 }
 
@@ -28,8 +28,8 @@
   let logId = randomUUID()
 
   function stream(name: string): LogStream {
-    const known = streams.get(name)
-    if (known) return known
+    const existing = streams.get(name)
+    if (existing) return existing
     const created = new LogStream(now)
     streams.set(name, created)
     return created
--- a/packages/stand-ins/src/node/logService/logFaults.ts
+++ b/packages/stand-ins/src/node/logService/logFaults.ts
@@ -1,16 +1,16 @@
-/** Fault switches of the log service's stand-in. */
+/** Injectable faults of the log service stand-in. */
 export interface LogFaults {
-  /** Every call fails with 503. */
+  /** Every request fails with 503. */
   outage: boolean
-  /** Calls get no answer and no end. */
+  /** Requests get no response and stay open. */
   silent: boolean
-  /** So many appends take effect while their answer is lost. */
+  /** Number of coming appends that take effect but lose their response. */
   loseReplies: number
-  /** Milliseconds before an answer. */
+  /** Delay before a response, in milliseconds. */
   delayMs: number
 }
 
-/** Returns switches that are all off. */
+/** Creates faults that are all off. */
 export function createLogFaults(): LogFaults {
   return { outage: false, silent: false, loseReplies: 0, delayMs: 0 }
 }
--- a/packages/stand-ins/src/node/logService/logStream.ts
+++ b/packages/stand-ins/src/node/logService/logStream.ts
@@ -1,4 +1,4 @@
-/** One record of a stream. */
+/** Record of a stream. */
 export interface LogRecord {
   readonly offset: number
   /** Milliseconds since the epoch. */
@@ -6,7 +6,7 @@
   readonly value: unknown
 }
 
-/** An append-only stream that keeps its newest records. */
+/** Append-only stream whose oldest records can be trimmed. */
 export class LogStream {
   private readonly records: LogRecord[] = []
   private next = 0
@@ -24,7 +24,7 @@
     return this.next
   }
 
-  /** Appends values and returns the first one's offset. */
+  /** Appends values and returns the offset of the first one. */
   append(values: readonly unknown[]): number {
     const first = this.next
     for (const value of values) {
@@ -36,7 +36,7 @@
     return first
   }
 
-  /** Returns at most `limit` records from `from` on. */
+  /** Returns at most `limit` records from offset `from` on. */
   read(from: number, limit: number): LogRecord[] {
     const start = Math.max(0, from - this.firstOffset)
     return this.records.slice(start, start + limit)
@@ -48,7 +48,7 @@
       this.records.shift()
   }
 
-  /** Resolves at the next append, or after `waitMs`. */
+  /** Resolves at the next append or after `waitMs` milliseconds. */
   waitForAppend(waitMs: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
--- a/packages/stand-ins/src/node/plainService/createPlainService.ts
+++ b/packages/stand-ins/src/node/plainService/createPlainService.ts
@@ -6,7 +6,7 @@
 import type { StandIn } from '../server/standIn.js'
 import { createPlainFaults, type PlainFaults } from './plainFaults.js'
 
-/** One call, as the service itself records it. */
+/** Record of one call to a plain service. */
 export interface PlainCall {
   readonly requestId: string
   readonly idempotencyKey?: string
@@ -15,16 +15,17 @@
   readonly headers: IncomingHttpHeaders
 }
 
-/** A plain service's stand-in. */
+/** Stand-in for a plain service. */
 export interface PlainServiceStandIn extends StandIn {
   readonly faults: PlainFaults
-  /** Switches on top of `faults` for the next calls, one entry each. */
+  /** Faults that override `faults` for the next calls, one entry per call. */
   readonly queuedFaults: Partial<PlainFaults>[]
-  /** What truly ran, in order. */
+  /** Calls that ran, in order. */
   readonly calls: readonly PlainCall[]
 }
 
-function sendCut(
+/** Sends the first bytes of a JSON response, then cuts the connection. */
+function sendTruncated(
   res: ServerResponse,
   value: unknown,
   headers: Record<string, string>,
@@ -44,13 +45,13 @@
 ): Promise<PlainServiceStandIn> {
   const calls: PlainCall[] = []
   const faults = createPlainFaults()
-  const script: Partial<PlainFaults>[] = []
-  const taken = new WeakMap<object, PlainFaults>()
+  const queuedFaults: Partial<PlainFaults>[] = []
+  const faultsByRequest = new WeakMap<object, PlainFaults>()
 
-  async function run(call: StandInRequest): Promise<void> {
+  async function handleCall(call: StandInRequest): Promise<void> {
     const { req, res, method, url, body } = call
-    const switches = taken.get(req) ?? faults
-    if (switches.refuse) {
+    const activeFaults = faultsByRequest.get(req) ?? faults
+    if (activeFaults.refuse) {
       const headers = { 'x-refused': 'before-running' }
       sendJson(res, 503, { error: 'refused' }, headers)
       return
@@ -63,19 +64,21 @@
       headers: req.headers,
     }
     calls.push(record)
-    if (switches.silent) return
-    if (switches.resetAfter) {
+    if (activeFaults.silent) return
+    if (activeFaults.resetAfter) {
       res.destroy()
       return
     }
-    if (switches.delayMs > 0) await sleep(switches.delayMs)
-    const echoed = switches.crossAnswers ? randomUUID() : record.requestId
-    const headers = { 'x-request-id': echoed }
-    const echo = switches.crossAnswers ? { notice: 'foreign' } : body
-    const answer = { recorded: calls.length, echo }
-    if (switches.cutAfterBytes >= 0)
-      sendCut(res, answer, headers, switches.cutAfterBytes)
-    else sendJson(res, 200, answer, headers)
+    if (activeFaults.delayMs > 0) await sleep(activeFaults.delayMs)
+    const requestId = activeFaults.crossAnswers
+      ? randomUUID()
+      : record.requestId
+    const headers = { 'x-request-id': requestId }
+    const echo = activeFaults.crossAnswers ? { notice: 'foreign' } : body
+    const reply = { recorded: calls.length, echo }
+    if (activeFaults.cutAfterBytes >= 0)
+      sendTruncated(res, reply, headers, activeFaults.cutAfterBytes)
+    else sendJson(res, 200, reply, headers)
   }
 
   async function handle(call: StandInRequest): Promise<void> {
@@ -84,15 +87,15 @@
       Object.assign(faults, body)
       sendJson(res, 200, faults)
     } else if (url.pathname === '/load') sendJson(res, 200, { inFlight: 0 })
-    else await run(call)
+    else await handleCall(call)
   }
 
   const standIn = await createStandIn(handle, address, (req) => {
     if (req.url === '/load' || req.url === '/faults') return true
-    const switches = { ...faults, ...script.shift() }
-    taken.set(req, switches)
-    if (switches.resetBefore) req.socket.destroy()
-    return !switches.resetBefore
+    const activeFaults = { ...faults, ...queuedFaults.shift() }
+    faultsByRequest.set(req, activeFaults)
+    if (activeFaults.resetBefore) req.socket.destroy()
+    return !activeFaults.resetBefore
   })
-  return { ...standIn, faults, queuedFaults: script, calls }
+  return { ...standIn, faults, queuedFaults, calls }
 }
--- a/packages/stand-ins/src/node/plainService/plainFaults.ts
+++ b/packages/stand-ins/src/node/plainService/plainFaults.ts
@@ -1,22 +1,22 @@
-/** Fault switches of a plain service's stand-in. */
+/** Injectable faults of a plain service stand-in. */
 export interface PlainFaults {
-  /** Refuses calls with 503 before running them. */
+  /** Rejects calls with 503 before running them. */
   refuse: boolean
-  /** Closes connections on the head of a call, before reading its body. */
+  /** Closes the connection on the head of a call, before reading its body. */
   resetBefore: boolean
-  /** Runs the call, then closes the connection without an answer. */
+  /** Runs the call, then closes the connection without a response. */
   resetAfter: boolean
-  /** Runs the call and never answers. */
+  /** Runs the call and never responds. */
   silent: boolean
-  /** Cuts the answer after so many bytes of its body; negative is never. */
+  /** Cuts the connection after this many bytes of the body; off if negative. */
   cutAfterBytes: number
-  /** Answers with another call's answer, under that one's identity. */
+  /** Sends the response of another call, with that call's request id. */
   crossAnswers: boolean
-  /** Milliseconds before the answer. */
+  /** Delay before the response, in milliseconds. */
   delayMs: number
 }
 
-/** Returns switches that are all off. */
+/** Creates faults that are all off. */
 export function createPlainFaults(): PlainFaults {
   return {
     refuse: false,
--- a/packages/stand-ins/src/node/process/createRouterSettings.ts
+++ b/packages/stand-ins/src/node/process/createRouterSettings.ts
@@ -1,15 +1,15 @@
 import type { StandIn } from '../server/standIn.js'
 
-/** What the settings of a router on stand-ins are made for. */
+/** Options for {@link createRouterSettings}. */
 export interface RouterSettingsOptions {
   readonly id: string
   readonly log: Pick<StandIn, 'url'>
   readonly vmList: Pick<StandIn, 'url'>
-  /** Begins the secrets: what the router serves. @default 'test' */
+  /** What the router is used for; prefix of its secrets. @default 'test' */
   readonly purpose?: string
 }
 
-/** Returns the secrets of routers that serve `purpose`. */
+/** Creates the secrets of routers that are used for `purpose`. */
 export function createRouterSecrets(purpose: string) {
   return {
     peer: `${purpose}-peer-secret-0123456789`,
@@ -18,7 +18,7 @@
   }
 }
 
-/** Returns settings of a quiet router on free ports that stops at once. */
+/** Creates settings of a router on free ports, with minimal logging and no balancer delay. */
 export function createRouterSettings(options: RouterSettingsOptions) {
   const { id, log, vmList, purpose = 'test' } = options
   const anyPort = { host: '127.0.0.1', port: 0 }
--- a/packages/stand-ins/src/node/process/startProcess.ts
+++ b/packages/stand-ins/src/node/process/startProcess.ts
@@ -2,15 +2,16 @@
 import { once } from 'node:events'
 import { fileURLToPath } from 'node:url'
 
-/** A process that has said that it is ready. */
+/** A child process that has reported that it is ready. */
 export interface ReadyProcess<T> {
   readonly child: ChildProcess
+  /** The message by which it reported readiness. */
   readonly ready: T
-  /** Sends SIGTERM and returns the exit code. */
+  /** Sends SIGTERM and resolves with the exit code, or null after a signal. */
   stop(): Promise<number | null>
 }
 
-/** Starts a module as a process and waits until it is ready. */
+/** Starts a module as a child process and waits until it reports that it is ready. */
 export async function startProcess<T>(
   moduleUrl: string,
   args: readonly string[],
@@ -21,7 +22,11 @@
       resolve(message as T)
     })
     child.once('exit', (code) => {
-      reject(new Error(`${moduleUrl} ended with ${String(code)}`))
+      reject(
+        new Error(
+          `${moduleUrl} exited with code ${String(code)} before it was ready`,
+        ),
+      )
     })
   })
   return {
--- a/packages/stand-ins/src/node/server/createStandIn.ts
+++ b/packages/stand-ins/src/node/server/createStandIn.ts
@@ -14,7 +14,7 @@
 import { MAX_BODY_BYTES } from '../constants.js'
 import type { StandIn } from './standIn.js'
 
-/** One request to a stand-in, with its JSON body read. */
+/** A request to a stand-in, with its parsed JSON body. */
 export interface StandInRequest {
   readonly req: IncomingMessage
   readonly res: ServerResponse
@@ -23,7 +23,7 @@
   readonly body: unknown
 }
 
-/** Serves one request of a stand-in. */
+/** Handles a request to a stand-in. */
 export type StandInHandler = (call: StandInRequest) => Promise<void> | void
 
 function parseJson(text: string): unknown {
@@ -34,10 +34,10 @@
   }
 }
 
-/** Sees a request's head; returns false to take the request no further. */
+/** Runs when the head of a request has arrived; returns false to ignore the request. */
 export type HeadHandler = (req: IncomingMessage) => boolean
 
-async function serve(
+async function handleRequest(
   handler: StandInHandler,
   req: IncomingMessage,
   res: ServerResponse,
@@ -63,10 +63,10 @@
   onHead: HeadHandler = () => true,
 ): Promise<StandIn> {
   const sockets = new Set<Socket>()
-  const silenced = new WeakSet<Socket>()
+  const stalled = new WeakSet<Socket>()
   const server = createServer((req, res) => {
-    if (silenced.has(req.socket) || !onHead(req)) return
-    serve(handler, req, res).catch((error: unknown) => {
+    if (stalled.has(req.socket) || !onHead(req)) return
+    handleRequest(handler, req, res).catch((error: unknown) => {
       if (res.headersSent) res.destroy()
       else sendJson(res, 500, { error: String(error) })
     })
@@ -75,13 +75,13 @@
     sockets.add(socket)
     socket.once('close', () => sockets.delete(socket))
   })
-  const taken = await listen(server, address)
+  const boundAddress = await listen(server, address)
   return {
-    address: taken,
-    url: `http://${formatAddress(taken)}`,
+    address: boundAddress,
+    url: `http://${formatAddress(boundAddress)}`,
     stallConnections: () => {
       for (const socket of sockets) {
-        silenced.add(socket)
+        stalled.add(socket)
         socket.cork()
       }
     },
--- a/packages/stand-ins/src/node/server/standIn.ts
+++ b/packages/stand-ins/src/node/server/standIn.ts
@@ -1,12 +1,12 @@
 import type { ListenAddress } from '@auburnbay/http-utils'
 
-/** A running stand-in for an outside system. */
+/** A running stand-in for an external system. */
 export interface StandIn {
   readonly address: ListenAddress
-  /** Base URL, `http://127.0.0.1:8000`. */
+  /** Base URL, such as `http://127.0.0.1:8000`. */
   readonly url: string
-  /** Makes the connections open now silent for good; new ones work. */
+  /** Stalls all open connections permanently; new connections work. */
   stallConnections(): void
-  /** Ends it at once, connections included. */
+  /** Stops the server and closes all connections at once. */
   close(): Promise<void>
 }
--- a/packages/stand-ins/src/node/vmList/createVmList.ts
+++ b/packages/stand-ins/src/node/vmList/createVmList.ts
@@ -2,7 +2,7 @@
 import { createStandIn } from '../server/createStandIn.js'
 import type { StandIn } from '../server/standIn.js'
 
-/** One VM as the list shows it. */
+/** Entry of the VM list. */
 export interface ListedVm {
   readonly id: string
   readonly role: 'router' | 'target'
@@ -11,11 +11,11 @@
   readonly state: 'live' | 'leaving'
 }
 
-/** The VM list's stand-in. */
+/** Stand-in for the VM list. */
 export interface VmListStandIn extends StandIn {
-  /** What the list shows; change it at will. */
+  /** Entries of the list; may be changed at any time. */
   vms: ListedVm[]
-  /** Whether every call fails with 503. */
+  /** Whether every read of the list fails with 503. */
   outage: boolean
 }
 
--- a/packages/stand-ins/src/node/weightStore/createWeightStore.ts
+++ b/packages/stand-ins/src/node/weightStore/createWeightStore.ts
@@ -2,13 +2,13 @@
 import { createStandIn } from '../server/createStandIn.js'
 import type { StandIn } from '../server/standIn.js'
 
-/** The weight store's stand-in. */
+/** Stand-in for the weight store. */
 export interface WeightStoreStandIn extends StandIn {
-  /** Loads allowed within any minute; change it at will. */
+  /** Loads allowed within any minute; may be changed at any time. */
   loadsPerMinute: number
-  /** When each load was served, in milliseconds of `now`. */
+  /** Times at which loads were served, in milliseconds of `now`. */
   readonly served: readonly number[]
-  /** Loads that were refused. */
+  /** Times at which loads were rejected, in milliseconds of `now`. */
   readonly refused: readonly number[]
 }
 
