--- a/deploy/build.mjs
+++ b/deploy/build.mjs
@@ -1,4 +1,4 @@
-// Bundles the router and its adapter to the platform into one file.
+// Bundles the router and its platform adapter into one file.
 import { build } from 'esbuild'
 
 await build({
--- a/playground/corrib/src/node/main.ts
+++ b/playground/corrib/src/node/main.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { startSample, streamChat } from '@auburnbay/playground-shared'
 
-/** Milliseconds that a caller reads before the next question. */
-const READING_MS = 500
+/** Pause in which a caller reads a response before the next question. */
+const READING_PAUSE_MS = 500
 
 const sample = await startSample({
   settingsFile: new URL('../../settings.json', import.meta.url),
@@ -17,8 +17,8 @@
 process.stdout.write('Configuration version 1 is in force.\n')
 
 for (const [index, url] of sample.callerUrls.entries()) {
-  await sleep(READING_MS)
-  const answer = await streamChat({
+  await sleep(READING_PAUSE_MS)
+  const response = await streamChat({
     url,
     key: sample.callerKey,
     service: 'briefing',
@@ -26,7 +26,7 @@
     kind: 'route-briefing',
     prompt: index === 0 ? 'Ice in Baffin Bay?' : 'And tomorrow?',
   })
-  const { status, target, cache, text } = answer
+  const { status, target, cache, text } = response
   process.stdout.write(
     `router-${index + 1}: ${status} from ${target}, cache ${cache}: ${text}\n`,
   )
--- a/playground/onboarding/src/node/main.ts
+++ b/playground/onboarding/src/node/main.ts
@@ -1,9 +1,9 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { startSample, streamChat } from '@auburnbay/playground-shared'
-import { sendSignOff } from './signOff.js'
+import { sendSignOff } from './sendSignOff.js'
 
-/** Milliseconds that a caller reads before the next question. */
-const READING_MS = 500
+/** Pause in which a caller reads a response before the next question. */
+const READING_PAUSE_MS = 500
 
 const sample = await startSample({
   settingsFile: new URL('../../settings.json', import.meta.url),
@@ -18,7 +18,7 @@
 process.stdout.write('Configuration version 1 is in force.\n')
 
 for (const [index, url] of sample.callerUrls.entries()) {
-  await sleep(READING_MS)
+  await sleep(READING_PAUSE_MS)
   const { status, target, cache } = await streamChat({
     url,
     key: sample.callerKey,
--- a/playground/onboarding/src/node/signOff.ts
+++ b/playground/onboarding/src/node/sendSignOff.ts
@@ -3,15 +3,15 @@
 
 const TIMEOUT_MS = 10_000
 
-/** A sign-off as its supervisor sends it. */
+/** A supervisor's sign-off of a step. */
 export interface SignOff {
   readonly starter: string
   readonly step: string
-  /** Keeps a repeated call from running twice. */
+  /** Prevents a repeated request from running twice. */
   readonly idempotencyKey: string
 }
 
-/** Sends a sign-off, which must run at most once, and returns the HTTP status. */
+/** Sends a sign-off, which must run at most once; resolves with the HTTP status. */
 export async function sendSignOff(
   url: string,
   key: string,
@@ -29,6 +29,6 @@
     timeoutMs: TIMEOUT_MS,
   })
   if (reply.isOk()) return reply.value.status
-  const hint = `look at ${VERDICT_HEADER} before sending it again`
+  const hint = `check ${VERDICT_HEADER} before sending it again`
   throw new Error(`${reply.error.message}; ${hint}`)
 }
--- a/playground/shared/src/node/writeRouterSettings.ts
+++ b/playground/shared/src/node/createSettingsWriter.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path'
 import type { Settings } from '@auburnbay/daemon'
 
-/** URLs that the sample routers need. */
+/** URLs of the stand-ins that a sample's routers use. */
 export interface SampleUrls {
   readonly logService: string
   readonly vmList: string
@@ -14,21 +14,25 @@
 export interface SettingsWriter {
   /** Token of the sample's bootstrap owner. */
   readonly adminToken: string
-  /** Returns the path of the file. */
+  /** Writes the settings of a router and returns the path of the file. */
   write(id: string): string
 }
 
 const anyPort = { host: '127.0.0.1', port: 0 }
 
-/** Takes the sample's settings and fills in free ports, URLs and new secrets. */
+/** Creates a writer that completes the sample's settings with free ports, URLs and new secrets. */
 export function createSettingsWriter(
   settingsFile: URL,
   urls: SampleUrls,
 ): SettingsWriter {
   const sample = JSON.parse(readFileSync(settingsFile, 'utf8')) as Settings
-  const folder = mkdtempSync(join(tmpdir(), 'auburnbay-sample-'))
-  const secret = (): string => randomBytes(16).toString('hex')
-  const secrets = { peer: secret(), hint: secret(), admin: secret() }
+  const directory = mkdtempSync(join(tmpdir(), 'auburnbay-sample-'))
+  const createSecret = (): string => randomBytes(16).toString('hex')
+  const secrets = {
+    peer: createSecret(),
+    hint: createSecret(),
+    admin: createSecret(),
+  }
   return {
     adminToken: secrets.admin,
     write: (id) => {
@@ -40,7 +44,7 @@
         vmList: { ...sample.vmList, url: urls.vmList },
         secrets,
       }
-      const path = join(folder, `${id}.json`)
+      const path = join(directory, `${id}.json`)
       writeFileSync(path, JSON.stringify(settings, null, 2))
       return path
     },
--- a/playground/shared/src/node/index.ts
+++ b/playground/shared/src/node/index.ts
@@ -1,5 +1,5 @@
 export { startSample } from './startSample.js'
-export type { Sample, SampleDeployment } from './startSample.js'
+export type { Sample, SampleOptions } from './startSample.js'
 export type { SampleTargets } from './startStandIns.js'
 export { streamChat } from './streamChat.js'
-export type { ChatAnswer, ChatCall } from './streamChat.js'
+export type { ChatResponse, ChatRequest } from './streamChat.js'
--- a/playground/shared/src/node/startSample.ts
+++ b/playground/shared/src/node/startSample.ts
@@ -5,13 +5,13 @@
 import { formatAddress, requestJson } from '@auburnbay/http-utils'
 import { type ReadyProcess, startProcess } from '@auburnbay/stand-ins'
 import { type SampleTargets, startStandIns } from './startStandIns.js'
-import { createSettingsWriter } from './writeRouterSettings.js'
+import { createSettingsWriter } from './createSettingsWriter.js'
 
-/** A deployment as its folder describes it. */
-export interface SampleDeployment {
+/** Options for {@link startSample}. */
+export interface SampleOptions {
   /** Settings that the routers share. */
   readonly settingsFile: URL
-  /** The configuration without targets and keys. */
+  /** Configuration without targets and keys. */
   readonly configurationFile: URL
   readonly dataCentre: string
   readonly targets: readonly SampleTargets[]
@@ -22,9 +22,9 @@
 /** A running sample. */
 export interface Sample {
   readonly callerKey: string
-  /** URLs of the routers' listeners for callers. */
+  /** Base URLs of the routers' caller listeners. */
   readonly callerUrls: readonly string[]
-  /** Stops routers, then stand-ins; returns the routers' exit codes. */
+  /** Stops the routers, then the stand-ins; resolves with the routers' exit codes. */
   stop(): Promise<(number | null)[]>
 }
 
@@ -32,16 +32,24 @@
 
 const ROUTERS = ['router-1', 'router-2']
 const CALL_TIMEOUT_MS = 5_000
-const READY_TRIES = 100
-const READY_PAUSE_MS = 50
+const READY_ATTEMPTS = 100
+const READY_POLL_MS = 50
 
 const daemonUrl = new URL('bin.js', import.meta.resolve('@auburnbay/daemon'))
 
-function urlOf(router: RouterProcess, part: keyof DaemonAddresses): string {
-  return `http://${formatAddress(router.ready.addresses[part])}`
+function listenerUrl(
+  router: RouterProcess,
+  listener: keyof DaemonAddresses,
+): string {
+  return `http://${formatAddress(router.ready.addresses[listener])}`
 }
 
-async function send(method: string, url: string, token: string, body: object) {
+async function sendRequest(
+  method: string,
+  url: string,
+  token: string,
+  body: object,
+) {
   const headers = { authorization: `Bearer ${token}` }
   const call = { method, url, headers, body, timeoutMs: CALL_TIMEOUT_MS }
   const reply = await requestJson(call)
@@ -51,22 +59,22 @@
 
 async function waitUntilReady(baseUrl: string): Promise<void> {
   const call = { method: 'GET', timeoutMs: CALL_TIMEOUT_MS }
-  for (let tries = 0; tries < READY_TRIES; tries += 1) {
+  for (let attempt = 0; attempt < READY_ATTEMPTS; attempt += 1) {
     const reply = await requestJson({ ...call, url: `${baseUrl}/readyz` })
     if (reply.isOk() && reply.value.status === 200) return
-    await sleep(READY_PAUSE_MS)
+    await sleep(READY_POLL_MS)
   }
   throw new Error(`the router at ${baseUrl} did not become ready`)
 }
 
-function firstPatch(
-  deployment: SampleDeployment,
+function createInitialPatch(
+  options: SampleOptions,
   targets: readonly { id: string; service: string; address: string }[],
   stored: object,
 ) {
-  const text = readFileSync(deployment.configurationFile, 'utf8')
+  const text = readFileSync(options.configurationFile, 'utf8')
   const sections = Object.entries(JSON.parse(text) as Record<string, object>)
-  const { customer, dataCentre } = deployment
+  const { customer, dataCentre } = options
   return [
     ...sections.map(([name, value]) => ({
       op: 'add',
@@ -86,33 +94,31 @@
   ]
 }
 
-/** Starts a sample: stand-ins, two routers, configuration version 1. */
-export async function startSample(
-  deployment: SampleDeployment,
-): Promise<Sample> {
-  const standIns = await startStandIns(deployment.targets)
-  const writer = createSettingsWriter(deployment.settingsFile, standIns)
+/** Starts stand-ins and two routers and puts configuration version 1 in force. */
+export async function startSample(options: SampleOptions): Promise<Sample> {
+  const standIns = await startStandIns(options.targets)
+  const settingsWriter = createSettingsWriter(options.settingsFile, standIns)
   const routers: RouterProcess[] = []
   for (const id of ROUTERS) {
-    const args = ['--settings', writer.write(id)]
+    const args = ['--settings', settingsWriter.write(id)]
     routers.push(await startProcess(daemonUrl.href, args))
   }
   const vms = routers.map((router, index) => ({
     id: ROUTERS[index],
     role: 'router',
     address: formatAddress(router.ready.addresses.peers),
-    dataCentre: deployment.dataCentre,
+    dataCentre: options.dataCentre,
     state: 'live',
   }))
-  await send('PUT', `${standIns.vmList}/vms`, '', vms)
-  const key = createCallerKey(deployment.customer, 'first')
-  const operations = firstPatch(deployment, standIns.targets, key.stored)
+  await sendRequest('PUT', `${standIns.vmList}/vms`, '', vms)
+  const key = createCallerKey(options.customer, 'first')
+  const operations = createInitialPatch(options, standIns.targets, key.stored)
   const body = { baseVersion: 0, author: 'sample', operations }
   const [first] = routers
   if (!first) throw new Error('no router was started')
-  const url = `${urlOf(first, 'admin')}/config/patches`
-  await send('POST', url, writer.adminToken, body)
-  const callerUrls = routers.map((router) => urlOf(router, 'callers'))
+  const url = `${listenerUrl(first, 'admin')}/config/patches`
+  await sendRequest('POST', url, settingsWriter.adminToken, body)
+  const callerUrls = routers.map((router) => listenerUrl(router, 'callers'))
   await Promise.all(callerUrls.map(waitUntilReady))
   return {
     callerKey: key.text,
--- a/playground/shared/src/node/startStandIns.ts
+++ b/playground/shared/src/node/startStandIns.ts
@@ -4,53 +4,55 @@
 /** Targets of one service of a sample. */
 export interface SampleTargets {
   readonly service: string
-  /** Kind of stand-in. */
+  /** Kind of stand-in that serves as target. */
   readonly standIn: 'engine' | 'plain-service'
   readonly count: number
 }
 
-/** A target's id, service and address. */
+/** A target that a stand-in process serves. */
 export interface StartedTarget {
   readonly id: string
   readonly service: string
   readonly address: string
 }
 
-/** The processes that stand in for the platform and the targets. */
+/** Stand-in processes for the platform and the targets. */
 export interface StandIns {
+  /** Base URL of the log service. */
   readonly logService: string
+  /** Base URL of the VM list. */
   readonly vmList: string
   readonly targets: readonly StartedTarget[]
   stop(): Promise<void>
 }
 
-interface Ready {
+interface ReadyMessage {
   readonly address: ListenAddress
 }
 
 const binUrl = new URL('bin.js', import.meta.resolve('@auburnbay/stand-ins'))
 
-function start(kind: string): Promise<ReadyProcess<Ready>> {
-  return startProcess<Ready>(binUrl.href, [kind])
+function startStandIn(kind: string): Promise<ReadyProcess<ReadyMessage>> {
+  return startProcess<ReadyMessage>(binUrl.href, [kind])
 }
 
-function url(process: ReadyProcess<Ready>): string {
-  return `http://${formatAddress(process.ready.address)}`
+function baseUrl({ ready }: ReadyProcess<ReadyMessage>): string {
+  return `http://${formatAddress(ready.address)}`
 }
 
-/** Starts log service, VM list and the targets of each service. */
+/** Starts stand-ins for the log service, the VM list and the targets of each service. */
 export async function startStandIns(
   services: readonly SampleTargets[],
 ): Promise<StandIns> {
   const [logService, vmList] = await Promise.all([
-    start('log-service'),
-    start('vm-list'),
+    startStandIn('log-service'),
+    startStandIn('vm-list'),
   ])
   const processes = [logService, vmList]
   const targets: StartedTarget[] = []
   for (const { service, standIn, count } of services) {
     const kinds = Array.from({ length: count }, () => standIn)
-    const started = await Promise.all(kinds.map(start))
+    const started = await Promise.all(kinds.map(startStandIn))
     processes.push(...started)
     for (const [index, { ready }] of started.entries()) {
       const address = formatAddress(ready.address)
@@ -58,8 +60,8 @@
     }
   }
   return {
-    logService: url(logService),
-    vmList: url(vmList),
+    logService: baseUrl(logService),
+    vmList: baseUrl(vmList),
     targets,
     stop: async () => {
       await Promise.all(processes.map((process) => process.stop()))
--- a/playground/shared/src/node/streamChat.ts
+++ b/playground/shared/src/node/streamChat.ts
@@ -6,15 +6,15 @@
   TARGET_HEADER,
 } from '@auburnbay/core'
 
-/** One answer of the returning chat. */
-export interface ChatAnswer {
+/** Complete response to a chat request. */
+export interface ChatResponse {
   readonly status: number
   readonly target: string
   readonly cache: string
   readonly text: string
 }
 
-function textOf(events: string): string {
+function extractText(events: string): string {
   const words: string[] = []
   for (const line of events.split('\n')) {
     if (!line.startsWith('data: {')) continue
@@ -26,21 +26,21 @@
   return words.join('').trim()
 }
 
-/** One request of a chat. */
-export interface ChatCall {
+/** A streamed request of a chat. */
+export interface ChatRequest {
   /** URL of a router's listener for callers. */
   readonly url: string
   readonly key: string
   readonly service: string
   readonly chat: string
-  /** Kind of the request, which rules rank. */
+  /** Kind of the request; rules derive its rank from it. */
   readonly kind: string
   readonly prompt: string
 }
 
-/** Sends a streamed request and reads the whole answer. */
-export function streamChat(call: ChatCall): Promise<ChatAnswer> {
-  const { url, key, service, chat, kind, prompt } = call
+/** Sends a streamed chat request and resolves with the complete response. */
+export function streamChat(chatRequest: ChatRequest): Promise<ChatResponse> {
+  const { url, key, service, chat, kind, prompt } = chatRequest
   const body = JSON.stringify({
     model: service,
     stream: true,
@@ -69,7 +69,7 @@
           status: res.statusCode ?? 0,
           target: String(res.headers[TARGET_HEADER]),
           cache: String(res.headers[CACHE_HEADER]),
-          text: textOf(events),
+          text: extractText(events),
         })
       })
     })
