--- a/packages/measure/src/node/state/measureOrderWindow.ts
+++ b/packages/measure/src/node/state/measureOrderWindow.ts
@@ -12,8 +12,9 @@
  * Simulates a late order and returns how long the engine is in a wrong state,
  * in milliseconds. The lease holder with token 1 pauses between its last read
  * of the log and its order; meanwhile the holder with token 2 has brought the
- * engine to the desired state. With `readsBack`, the holder with token 2 keeps
- * reading the engine's state and corrects it.
+ * engine to the desired state. With `checksFencing`, the engine rejects the
+ * lower token; with `readsBack`, the holder with token 2 keeps reading the
+ * engine's state and corrects it.
  */
 function simulateLateOrder(checksFencing: boolean, readsBack: boolean): number {
   let state = desiredState
