--- a/packages/core/src/node/configuration/applyLogPage.ts
+++ b/packages/core/src/node/configuration/applyLogPage.ts
@@ -42,19 +42,19 @@
     return keepVersion(
       state,
       ConfigurationProblemKind.LogReplaced,
-      `the log id is ${page.logId} instead of ${logId}; keeping version ${version}`,
+      `the log is ${page.logId} instead of ${logId}; version ${version} stays in force`,
     )
   if (page.nextOffset < nextOffset)
     return keepVersion(
       state,
       ConfigurationProblemKind.LogShortened,
-      `the log ends at offset ${page.nextOffset}, but offset ${nextOffset - 1} was already read; keeping version ${version}`,
+      `the log ends at offset ${page.nextOffset}, but offset ${nextOffset - 1} was read; version ${version} stays in force`,
     )
   if (page.firstOffset > nextOffset)
     return keepVersion(
       state,
       ConfigurationProblemKind.RecordsMissing,
-      `the log starts at offset ${page.firstOffset}, but offset ${nextOffset} is needed; keeping version ${version}`,
+      `the log starts at offset ${page.firstOffset}, but offset ${nextOffset} is needed; version ${version} stays in force`,
     )
   const reread = page.records.find(
     ({ offset }) => offset === lastRecord?.offset,
@@ -63,7 +63,7 @@
     return keepVersion(
       state,
       ConfigurationProblemKind.LogRewritten,
-      `the record at offset ${reread.offset} has changed since it was read; keeping version ${version}`,
+      `the log has another record at offset ${reread.offset} than was read; version ${version} stays in force`,
     )
   return undefined
 }
--- a/packages/core/src/node/configuration/applyRecords.ts
+++ b/packages/core/src/node/configuration/applyRecords.ts
@@ -55,10 +55,10 @@
   })
   if (record.schema < schema)
     return invalid(
-      `the patch has schema ${record.schema}, but the log requires ${schema}; resend it through an upgraded router`,
+      `the patch has schema ${record.schema}, but the log needs ${schema}; send it again through an upgraded router`,
     )
   if (record.baseVersion !== version) {
-    const reason = `the patch is based on version ${record.baseVersion}, but the current version is ${version}`
+    const reason = `the patch is against version ${record.baseVersion}, but version ${version} is in force`
     return { outcome: { ...base, kind: PatchOutcomeKind.Conflict, reason } }
   }
   const patched = patchConfiguration(state.configuration, record.operations)
@@ -138,7 +138,7 @@
     const schema = requiredSchema(record.value) ?? 0
     if (schema > CONFIGURATION_SCHEMA) {
       const kind = ConfigurationProblemKind.NewerSchema
-      const message = `the record at offset ${record.offset} has schema ${schema}, but this release supports up to ${CONFIGURATION_SCHEMA}; upgrade this router`
+      const message = `the record at offset ${record.offset} has schema ${schema}, but this release knows ${CONFIGURATION_SCHEMA}; upgrade this router`
       progress.state = { ...progress.state, problem: { kind, message } }
       break
     }
--- a/packages/core/src/node/configuration/patchInPlace.ts
+++ b/packages/core/src/node/configuration/patchInPlace.ts
@@ -30,11 +30,10 @@
 function validateOperation(draft: unknown, operation: JsonOperation) {
   const { op, path, from, value } = operation
   const adds = op === 'add' || op === 'move' || op === 'copy'
-  if (!pathExists(draft, path, !adds))
-    return `${path}: the path does not exist; cannot ${op}`
+  if (!pathExists(draft, path, !adds)) return `${path}: nothing to ${op} here`
   const copies = op === 'move' || op === 'copy'
   if (copies && (typeof from !== 'string' || !pathExists(draft, from, true)))
-    return `${String(from)}: the path does not exist; cannot ${op} from it`
+    return `${String(from)}: nothing to ${op} from here`
   if (!isPlainJson(value)) return `${path}: the value is not plain JSON`
   return undefined
 }
--- a/packages/core/src/node/teams/authorizeChange.ts
+++ b/packages/core/src/node/teams/authorizeChange.ts
@@ -29,7 +29,7 @@
     if (owner.kind === OwnerKind.Team && owner.team === actor.team) continue
     const ownerName =
       owner.kind === OwnerKind.Team ? `team ${owner.team ?? ''}` : 'the fleet'
-    return `${path}: belongs to ${ownerName}; operator ${actor.id} can change only entries of team ${actor.team ?? ''}`
+    return `${path}: belongs to ${ownerName}; operator ${actor.id} changes entries of team ${actor.team ?? ''} alone`
   }
   return undefined
 }
--- a/packages/core/src/node/teams/checkTeams.ts
+++ b/packages/core/src/node/teams/checkTeams.ts
@@ -53,7 +53,7 @@
   const [unbounded] = usage.unboundedCustomers
   if (quotas.maxInFlight === undefined || unbounded === undefined)
     return undefined
-  return `/customers/${unbounded}/maxInFlight: team ${team} has a quota for requests in flight, so each of its customers needs this field`
+  return `/customers/${unbounded}/maxInFlight: team ${team} has a quota of requests in flight, so each of its customers needs this field`
 }
 
 function findUnknownTeam(cfg: Configuration): string | undefined {
--- a/packages/daemon/src/node/admission/queueExitFailure.ts
+++ b/packages/daemon/src/node/admission/queueExitFailure.ts
@@ -24,7 +24,7 @@
     case QueueExitReason.CallerGone:
       return createFailure(
         FailureCode.DeadlinePassed,
-        'the caller disconnected while the request waited',
+        'the caller went away while the request waited',
       )
   }
 }
--- a/packages/daemon/src/node/limits/createCustomerLimits.ts
+++ b/packages/daemon/src/node/limits/createCustomerLimits.ts
@@ -56,7 +56,7 @@
     retryAfterS: number,
   ) {
     metrics.count('limits.refused', 1, { customer, limit: kind })
-    const message = `${customer} has reached its ${kind} limit; send fewer requests or ask your operator for a higher limit`
+    const message = `${customer} has reached its ${kind} limit; send fewer requests or ask your operator for more`
     const { LimitReached } = FailureCode
     return err(createFailure(LimitReached, message, undefined, retryAfterS))
   }
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -198,7 +198,7 @@
       const target = table?.targets.get(id)
       if (target) return ok(acquireSlot(request, target, group))
     }
-    const message = `no target of service ${request.service} can accept the request`
+    const message = `no target of ${request.service} can take the request`
     return err(
       createFailure(FailureCode.NoTarget, message, undefined, RETRY_AFTER_S),
     )
--- a/packages/http-utils/src/node/exchange.ts
+++ b/packages/http-utils/src/node/exchange.ts
@@ -100,16 +100,13 @@
       if (req.destroyed) return
       startTimeout(
         limits.firstByteTimeoutMs,
-        `no response headers within ${limits.firstByteTimeoutMs} ms`,
+        'the target sent no answer in time',
       )
       progress = AttemptProgress.Written
       req.end(body)
     }
 
-    startTimeout(
-      limits.connectTimeoutMs,
-      `not connected within ${limits.connectTimeoutMs} ms`,
-    )
+    startTimeout(limits.connectTimeoutMs, 'connecting took too long')
     req.once('socket', (socket) => {
       call.onSocket?.(socket)
       if (socket.connecting) socket.once('connect', write)
@@ -122,7 +119,7 @@
     })
     // A response that switches protocols emits neither `response` nor `error`.
     req.once('close', () => {
-      fail('the connection closed without a response')
+      fail('the connection closed without an answer')
     })
     req.once('response', (res) => {
       clearTimeout(timer)
--- a/packages/http-utils/src/node/requestBytes.ts
+++ b/packages/http-utils/src/node/requestBytes.ts
@@ -69,7 +69,7 @@
       restartIdleTimer()
       void readBody(res, MAX_RESPONSE_BYTES).then((body) => {
         if (body.isErr()) {
-          fail(`incomplete response body (${body.error})`)
+          fail(`the answer was cut off (${body.error})`)
           return
         }
         const { statusCode: status = 0, headers } = res
--- a/packages/http-utils/src/node/requestJson.ts
+++ b/packages/http-utils/src/node/requestJson.ts
@@ -40,7 +40,7 @@
     return ok({ status, body: parse(response.value.body.toString('utf8')) })
   } catch {
     return err({
-      message: `${options.method} ${options.url}: the response is not JSON`,
+      message: `${options.method} ${options.url}: the answer is not JSON`,
     })
   }
 }
--- a/packages/router/src/node/peers/createPeerStateServer.ts
+++ b/packages/router/src/node/peers/createPeerStateServer.ts
@@ -54,7 +54,7 @@
   const server = createServer((req, res) => {
     const url = new URL(req.url ?? '/', 'http://peer')
     if (url.pathname !== STATE_PATH) {
-      sendJson(res, 404, { error: `not found; the state is at ${STATE_PATH}` })
+      sendJson(res, 404, { error: `ask for ${STATE_PATH}` })
       return
     }
     const body = encodePeerState(stateFor(parseQuery(url.searchParams)))
