--- a/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
@@ -1,6 +1,13 @@
 import assert from 'node:assert/strict'
 import { request } from 'node:http'
-import { after, afterEach, before, describe, it } from 'node:test'
+import {
+  after,
+  afterEach,
+  before,
+  describe,
+  it,
+  type TestContext,
+} from 'node:test'
 import { TARGET_HEADER, VERDICT_HEADER } from '@auburnbay/core'
 import { type EngineRun, streamText } from '@auburnbay/stand-ins'
 import {
@@ -14,22 +21,35 @@
   startFleet,
 } from '../../__tests__/startFleet.js'
 
+/** Limits that a busy machine does not reach. */
+const LONG_LIMITS = {
+  connectTimeoutMs: 60_000,
+  firstByteTimeoutMs: 60_000,
+  idleTimeoutMs: 60_000,
+}
+
 describe('the answer of an engine', () => {
   let fleet: Fleet
 
   before(async () => {
-    fleet = await startFleet({
-      engines: 1,
-      settings: {
-        targets: {
-          connectTimeoutMs: 500,
-          firstByteTimeoutMs: 200,
-          idleTimeoutMs: 100,
-        },
-      },
-    })
+    fleet = await startFleet({ engines: 1, settings: { targets: LONG_LIMITS } })
   })
 
+  /** Gives a test about silence a fleet of its own with a short limit. */
+  async function limitSilence(
+    t: TestContext,
+    limit: Partial<typeof LONG_LIMITS>,
+  ): Promise<void> {
+    const longLimited = fleet
+    const targets = { ...LONG_LIMITS, ...limit }
+    const limited = await startFleet({ engines: 1, settings: { targets } })
+    fleet = limited
+    t.after(() => {
+      fleet = longLimited
+      return limited.stop()
+    })
+  }
+
   after(() => fleet.stop())
 
   afterEach(() => {
@@ -67,7 +87,8 @@
     }
   })
 
-  it('is resumed where it is cut twice and then goes silent', async () => {
+  it('is resumed where it is cut twice and then goes silent', async (t) => {
+    await limitSilence(t, { idleTimeoutMs: 100 })
     const ran = engine().runs.length
     engine().queuedFaults.push(
       { cutAfterEvents: 3 },
@@ -109,7 +130,8 @@
     assert.doesNotMatch(answer.text, /#0/)
   })
 
-  it('comes over a new connection where the kept ones went silent', async () => {
+  it('comes over a new connection where the kept ones went silent', async (t) => {
+    await limitSilence(t, { firstByteTimeoutMs: 200 })
     assertWhole(await call())
     engine().stallConnections()
     const answer = await call()
