--- a/packages/core/src/node/orders/__tests__/planOrders.test.ts
+++ b/packages/core/src/node/orders/__tests__/planOrders.test.ts
@@ -16,7 +16,7 @@
 const afterMs = DRAIN_PROPAGATION_MS + 10
 
 function kinds(target: Partial<ManagedTarget>, loads = 10, nowMs = 0) {
-  const whole = {
+  const managed = {
     id: 'engine-1',
     service: 'briefing',
     desired: second,
@@ -24,7 +24,7 @@
     drain: { routers: [] },
     ...target,
   }
-  const plan = planOrders({ targets: [whole], lease, loads, nowMs })
+  const plan = planOrders({ targets: [managed], lease, loads, nowMs })
   return plan.map(({ kind }) => kind)
 }
 
@@ -73,6 +73,25 @@
     assert.deepEqual([1, 2, 13].map(countDraining), [1, 1, 3])
   })
 
+  it('drains a drifted target although no drain slot is left', () => {
+    const common = { service: 'briefing', desired: second, observed: first }
+    const routers = { routers: [] }
+    const draining = { ...common, id: 'a', drain: { sinceMs: 0, ...routers } }
+    const drainedIds = (drifted: boolean): string[] => {
+      const other: ManagedTarget = {
+        ...common,
+        id: 'b',
+        drain: routers,
+        drifted,
+      }
+      const targets = [draining, other]
+      const actions = planOrders({ targets, lease, loads: 9, nowMs: 0 })
+      return actions.map(({ target }) => target)
+    }
+    assert.deepEqual(drainedIds(false), ['a'])
+    assert.deepEqual(drainedIds(true), ['a', 'b'])
+  })
+
   it('waits until all routers use a changed target again', () => {
     const common = { service: 'briefing', desired: second }
     const changed = {
@@ -80,7 +99,7 @@
       id: 'engine-1',
       observed: second,
       drain: { routers: [] },
-      returnsAtMs: 5_000,
+      readmittedAtMs: 5_000,
     }
     const next = {
       ...common,
--- a/packages/core/src/node/orders/planOrders.ts
+++ b/packages/core/src/node/orders/planOrders.ts
@@ -26,9 +26,9 @@
   readonly observed?: EngineState
   readonly drain: DrainStatus
   /** When all routers use the target again after a drain; undefined without one. */
-  readonly returnsAtMs?: number
+  readonly readmittedAtMs?: number
   /** Whether the target had the desired state and lost it, e.g. by a late order. */
-  readonly strayed?: boolean
+  readonly drifted?: boolean
 }
 
 /** Options for {@link planOrders}. */
@@ -66,8 +66,8 @@
   for (const { service } of targets)
     sizes.set(service, (sizes.get(service) ?? 0) + 1)
   const taken = new Map<string, number>()
-  for (const { service, drain, returnsAtMs = -Infinity } of targets)
-    if (drain.sinceMs !== undefined || returnsAtMs > nowMs)
+  for (const { service, drain, readmittedAtMs = -Infinity } of targets)
+    if (drain.sinceMs !== undefined || readmittedAtMs > nowMs)
       taken.set(service, (taken.get(service) ?? 0) + 1)
   return {
     tryAcquire(service) {
@@ -96,7 +96,7 @@
   let remainingLoads = options.loads
   const slots = createDrainSlots(options)
   for (const target of sortDrainingFirst(options.targets)) {
-    const { id, service, desired, observed, drain, strayed } = target
+    const { id, service, desired, observed, drain, drifted } = target
     if (!observed || isSameState(observed, desired)) continue
     const loads = countWeightLoads(observed, desired)
     const { token } = lease
@@ -108,7 +108,7 @@
     const needsDrain = isDestructive(observed, desired)
     // A draining target has its slot already. A drifted one drains without a
     // slot, since wrong responses are worse than fewer targets.
-    const needsNoSlot = drain.sinceMs !== undefined || strayed
+    const needsNoSlot = drain.sinceMs !== undefined || drifted
     if (needsDrain && !needsNoSlot && !slots.tryAcquire(service)) continue
     remainingLoads -= loads
     const mustDrain = needsDrain && !isDrained(drain)
--- a/packages/daemon/src/node/orders/createOrderTask.ts
+++ b/packages/daemon/src/node/orders/createOrderTask.ts
@@ -49,7 +49,7 @@
 export function createOrderTask(options: OrderTaskOptions): Loop {
   const { configuration, peers, leaseHolder, now, logger } = options
   const drainingSinceMs = new Map<string, number>()
-  const availableAgainAtMs = new Map<string, number>()
+  const readmittedAtMs = new Map<string, number>()
   const ordersInFlight = new Set<string>()
   const reachedStates = new Map<string, EngineState>()
   let loadBudget = createLoadBudget(now())
@@ -107,17 +107,24 @@
 
   async function observeTargets(): Promise<ManagedTarget[]> {
     const configured = Object.entries(configuration().targets)
-    const observations = configured.map(async ([id, target]) => {
+    const observe = async ([id, target]: (typeof configured)[number]): Promise<
+      ManagedTarget | undefined
+    > => {
       const { address, desired, service } = target
       if (!desired) return undefined
       const observed = await readEngineState(address)
       const drain = await readDrainStatus(id, address)
-      const returnsAtMs = availableAgainAtMs.get(id)
-      const strayed = detectDrift(id, desired, observed)
-      const base = { id, service, drain, returnsAtMs }
-      return { ...base, desired, observed, strayed }
-    })
-    const targets = await Promise.all(observations)
+      return {
+        id,
+        service,
+        desired,
+        observed,
+        drain,
+        readmittedAtMs: readmittedAtMs.get(id),
+        drifted: detectDrift(id, desired, observed),
+      }
+    }
+    const targets = await Promise.all(configured.map(observe))
     return targets.filter((target) => target !== undefined)
   }
 
@@ -150,10 +157,7 @@
     for (const target of drainingSinceMs.keys()) {
       if (toDrain.has(target) || ordersInFlight.has(target)) continue
       drainingSinceMs.delete(target)
-      availableAgainAtMs.set(
-        target,
-        now() + LEAVING_TTL_MS + DRAIN_PROPAGATION_MS,
-      )
+      readmittedAtMs.set(target, now() + LEAVING_TTL_MS + DRAIN_PROPAGATION_MS)
     }
     options.announceDraining([...drainingSinceMs.keys()])
   }
--- a/packages/measure/src/node/state/measureOrderWindow.ts
+++ b/packages/measure/src/node/state/measureOrderWindow.ts
@@ -31,7 +31,7 @@
     const drain = { sinceMs, routers: [sighting], target: sighting }
     const target = { id: 'engine-1', service: 'briefing', desired: right }
     const [action] = planOrders({
-      targets: [{ ...target, observed: held, drain, strayed: true }],
+      targets: [{ ...target, observed: held, drain, drifted: true }],
       lease: { token: 2, validUntilMs: nowMs + LEASE_MS },
       loads: 1,
       nowMs,
