--- a/packages/router/src/node/callers/callProgress.ts
+++ b/packages/router/src/node/callers/callProgress.ts
@@ -66,6 +66,6 @@
     return progress.sends === 0 ? failures.noTarget : failures.targetsRefused
   }
   const timedOut =
-    call.signal.aborted || progress.lastCause === TargetFailureCause.Silent
+    call.signal.aborted || progress.lastCause === TargetFailureCause.TimedOut
   return timedOut ? failures.targetTimeout : failures.targetFailed
 }
--- a/packages/router/src/node/callers/createDispatcher.ts
+++ b/packages/router/src/node/callers/createDispatcher.ts
@@ -88,7 +88,7 @@
     if (handling.countsAgainstHealth)
       health.record(target, TargetOutcome.Failure, now())
     if (handling.avoidMs > 0) health.avoid(target.id, handling.avoidMs, now())
-    if (handling.discardsConnections) client.discardConnections(target)
+    if (handling.retiresConnections) client.retireConnections(target)
     progress.verdict = combineVerdicts(progress.verdict, failure.verdict)
     progress.lastCause = failure.cause
     if (failure.verdict !== Verdict.NotRun) progress.possibleRuns += 1
--- a/packages/router/src/node/createRouter.ts
+++ b/packages/router/src/node/createRouter.ts
@@ -104,7 +104,7 @@
     log,
   })
   const state = createRouterState({
-    activeConfiguration: configurationStore,
+    configurationStore,
     targetList,
     targets,
     configurationPollAgeMs: () => configurations.lastPollAgeMs(),
--- a/packages/router/src/node/health/classifyFailure.ts
+++ b/packages/router/src/node/health/classifyFailure.ts
@@ -6,8 +6,8 @@
   readonly countsAgainstHealth: boolean
   /** Milliseconds for which the target gets no requests; 0 for none. */
   readonly avoidMs: number
-  /** Whether open connections to the target are discarded. */
-  readonly discardsConnections: boolean
+  /** Whether the connections to the target are retired. */
+  readonly retiresConnections: boolean
 }
 
 /** Milliseconds for which an unreachable target gets no requests. */
@@ -22,29 +22,29 @@
       return {
         countsAgainstHealth: false,
         avoidMs: 0,
-        discardsConnections: false,
+        retiresConnections: false,
       }
     case TargetFailureCause.Refused:
       return {
         countsAgainstHealth: false,
         avoidMs: REFUSED_AVOID_MS,
-        discardsConnections: false,
+        retiresConnections: false,
       }
     case TargetFailureCause.Unreachable:
     case TargetFailureCause.WrongTarget:
       return {
         countsAgainstHealth: false,
         avoidMs: UNREACHABLE_AVOID_MS,
-        discardsConnections: true,
+        retiresConnections: true,
       }
     case TargetFailureCause.Broken:
-    case TargetFailureCause.Silent:
+    case TargetFailureCause.TimedOut:
     case TargetFailureCause.ForeignAnswer:
     case TargetFailureCause.Unsigned:
       return {
         countsAgainstHealth: true,
         avoidMs: 0,
-        discardsConnections: false,
+        retiresConnections: false,
       }
   }
 }
--- a/packages/router/src/node/peers/createRouterState.ts
+++ b/packages/router/src/node/peers/createRouterState.ts
@@ -6,7 +6,7 @@
 
 /** Options for {@link createRouterState}. */
 export interface RouterStateOptions {
-  readonly activeConfiguration: ConfigurationStore
+  readonly configurationStore: ConfigurationStore
   readonly targetList: TargetList
   readonly targets: TargetsFollower
   /** Returns the milliseconds since this router itself polled configurations. */
@@ -20,15 +20,15 @@
 
 /** Creates the state that a router shares with its peers. */
 export function createRouterState(options: RouterStateOptions): RouterState {
-  const { activeConfiguration, targetList, targets } = options
+  const { configurationStore, targetList, targets } = options
   return {
-    configurationVersion: () => activeConfiguration.version,
+    configurationVersion: () => configurationStore.version,
     configurationPollAgeMs: options.configurationPollAgeMs,
     targetsFingerprint: () => targetList.fingerprint(),
     targetsPollAgeMs: () => targets.lastPollAgeMs(),
     targetsAgeMs: () => targets.ageMs(),
     configurationSince(version) {
-      const newest = activeConfiguration.current?.configuration
+      const newest = configurationStore.current?.configuration
       return newest && newest.version > version ? newest : undefined
     },
     targets: () => [...targetList.all()],
--- a/packages/router/src/node/targets/createTargetClient.ts
+++ b/packages/router/src/node/targets/createTargetClient.ts
@@ -34,7 +34,7 @@
 export interface TargetClient {
   send(send: TargetSend): Promise<Result<TargetResponse, TargetFailure>>
   /** Closes idle connections to a target and lets the others carry no further request. */
-  discardConnections(target: Target): void
+  retireConnections(target: Target): void
   close(): void
 }
 
@@ -48,7 +48,7 @@
 
 const CAUSES: Readonly<Record<ExchangeError, TargetFailureCause>> = {
   [ExchangeError.Broken]: TargetFailureCause.Broken,
-  [ExchangeError.TimedOut]: TargetFailureCause.Silent,
+  [ExchangeError.TimedOut]: TargetFailureCause.TimedOut,
   [ExchangeError.Aborted]: TargetFailureCause.Aborted,
 }
 
@@ -142,7 +142,7 @@
 
   return {
     send,
-    discardConnections(target) {
+    retireConnections(target) {
       agent.retireConnections(addressOf(target))
     },
     close() {
--- a/packages/router/src/node/targets/targetFailure.ts
+++ b/packages/router/src/node/targets/targetFailure.ts
@@ -7,7 +7,7 @@
   /** The connection broke or carried no valid HTTP. */
   Broken = 'broken',
   /** No response came in time. */
-  Silent = 'silent',
+  TimedOut = 'silent',
   /** The caller disconnected or the deadline passed. */
   Aborted = 'aborted',
   /** The target refused the request without running it. */
