--- a/packages/core/src/node/snapshot/snapshotSchedule.ts
+++ b/packages/core/src/node/snapshot/snapshotSchedule.ts
@@ -14,8 +14,8 @@
   readonly atMs: number
 }
 
-/** Input of {@link scheduleSnapshot}. */
-export interface SnapshotScheduleInput {
+/** Options for {@link scheduleSnapshot}. */
+export interface SnapshotScheduleOptions {
   readonly version: number
   readonly nextOffset: number
   readonly last?: WrittenSnapshot
@@ -32,8 +32,8 @@
   readonly dueSinceMs?: number
 }
 
-function isDue(input: SnapshotScheduleInput): boolean {
-  const { last, version, nextOffset, nowMs, retentionMs } = input
+function isDue(options: SnapshotScheduleOptions): boolean {
+  const { last, version, nextOffset, nowMs, retentionMs } = options
   if (version === 0) return false
   if (!last) return true
   const ageMs = nowMs - last.atMs
@@ -43,15 +43,15 @@
   return records >= SNAPSHOT_EVERY_RECORDS || ageMs >= retentionMs / 8
 }
 
-function resolveDelayMs(input: SnapshotScheduleInput): number {
-  const key = `snapshot\n${input.last?.nextOffset ?? 0}`
-  const routers = new Set([...input.liveRouters, input.router])
+function resolveDelayMs(options: SnapshotScheduleOptions): number {
+  const key = `snapshot\n${options.last?.nextOffset ?? 0}`
+  const routers = new Set([...options.liveRouters, options.router])
   const order = rendezvousOrder(
     key,
     [...routers].map((id) => ({ id, weight: 1 })),
   )
-  const rank = order.findIndex(({ id }) => id === input.router)
-  const jitter = hash32(`${key}\n${input.router}`) % SNAPSHOT_JITTER_MS
+  const rank = order.findIndex(({ id }) => id === options.router)
+  const jitter = hash32(`${key}\n${options.router}`) % SNAPSHOT_JITTER_MS
   return rank * SNAPSHOT_RANK_STEP_MS + jitter
 }
 
@@ -61,10 +61,10 @@
  */
 export function scheduleSnapshot(
   schedule: SnapshotSchedule,
-  input: SnapshotScheduleInput,
+  options: SnapshotScheduleOptions,
 ): { schedule: SnapshotSchedule; write: boolean } {
-  if (!isDue(input)) return { schedule: {}, write: false }
-  const dueSinceMs = schedule.dueSinceMs ?? input.nowMs
-  const write = input.nowMs - dueSinceMs >= resolveDelayMs(input)
+  if (!isDue(options)) return { schedule: {}, write: false }
+  const dueSinceMs = schedule.dueSinceMs ?? options.nowMs
+  const write = options.nowMs - dueSinceMs >= resolveDelayMs(options)
   return { schedule: { dueSinceMs }, write }
 }
--- a/packages/daemon/src/node/configuration/createSnapshotWriter.ts
+++ b/packages/daemon/src/node/configuration/createSnapshotWriter.ts
@@ -3,7 +3,7 @@
   scheduleSnapshot,
   SNAPSHOT_STREAM,
   type SnapshotSchedule,
-  type SnapshotScheduleInput,
+  type SnapshotScheduleOptions,
   snapshotRecordSchema,
   type WrittenSnapshot,
 } from '@auburnbay/core'
@@ -46,7 +46,7 @@
 
   /** Updates the schedule; returns whether a snapshot is due. */
   function advanceSchedule(): boolean {
-    const input: SnapshotScheduleInput = {
+    const scheduleOptions: SnapshotScheduleOptions = {
       version: store.state.version,
       nextOffset: store.state.nextOffset,
       last,
@@ -55,7 +55,7 @@
       retentionMs: options.retentionMs,
       nowMs: options.nowMs(),
     }
-    const step = scheduleSnapshot(schedule, input)
+    const step = scheduleSnapshot(schedule, scheduleOptions)
     schedule = step.schedule
     return step.write
   }
