--- a/packages/core/src/node/routing/createGroupTargetSelector.ts
+++ b/packages/core/src/node/routing/createGroupTargetSelector.ts
@@ -77,7 +77,7 @@
 /** Milliseconds without messages to a coordinator that did not respond. */
 const COORDINATOR_BACKOFF_MS = 250
 
-/** Milliseconds until a coordinator that was not ready is asked again. */
+/** Milliseconds until a coordinator that was not ready is sent another request. */
 export const COORDINATOR_RETRY_MS = 1
 
 /** Creates the selector of one group. */
@@ -193,16 +193,16 @@
     applyGrantResponse(sequence, response, context) {
       if (sequence !== pendingSequence) return []
       const granted = creditPool.applyGrantResponse(sequence, response)
-      const answered = endGrantRequest()
+      const ended = endGrantRequest()
       if (!granted && response.status === GrantStatus.ViewsDiffer)
-        return answered.map((entry) => selectWithoutCoordinator(entry, context))
+        return ended.map((entry) => selectWithoutCoordinator(entry, context))
       if (!granted) {
         // The coordinator may become ready before the requests time out.
-        waiting = [...answered, ...waiting]
+        waiting = [...ended, ...waiting]
         retryAtMs = context.nowMs + COORDINATOR_RETRY_MS
         return []
       }
-      return answered.map(({ requestId, sinceMs }, position) => {
+      return ended.map(({ requestId, sinceMs }, position) => {
         const index = granted[position] ?? -1
         if (index >= 0) fallbackQuota.consume(index)
         const source = index < 0 ? SelectionSource.None : SelectionSource.Grant
--- a/packages/daemon/src/node/__tests__/callApi.ts
+++ b/packages/daemon/src/node/__tests__/callApi.ts
@@ -38,7 +38,7 @@
           status: statusCode,
           headers: received,
           text,
-          complete: complete,
+          complete,
         })
       })
     })
--- a/packages/daemon/src/node/__tests__/startFleet.ts
+++ b/packages/daemon/src/node/__tests__/startFleet.ts
@@ -36,7 +36,7 @@
   /** Settings that override those of the test fleet. */
   readonly settings?: Partial<Settings>
   /** Options of every daemon. */
-  readonly parts?: DaemonOptions
+  readonly daemon?: DaemonOptions
   /** Returns the settings that override those for one router. */
   readonly settingsOf?: (index: number) => Partial<Settings>
 }
@@ -143,7 +143,7 @@
   const addRouter = async (extra: Partial<Settings> = {}): Promise<Daemon> => {
     const settings = fleetSettings(routers.length, log, vmList, extra)
     const resolved = resolveSettings(settings)._unsafeUnwrap()
-    const router = await createDaemon(resolved, options.parts)
+    const router = await createDaemon(resolved, options.daemon)
     routers.push(router)
     const entry: ListedVm = {
       id: resolved.router.id,
--- a/packages/daemon/src/node/admission/__tests__/openCall.ts
+++ b/packages/daemon/src/node/admission/__tests__/openCall.ts
@@ -41,7 +41,7 @@
       res.once('error', () => undefined)
       res.once('close', () => {
         const { statusCode = 0, headers, complete } = res
-        resolve({ status: statusCode, headers, text, complete: complete })
+        resolve({ status: statusCode, headers, text, complete })
       })
     })
   })
--- a/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
@@ -14,7 +14,7 @@
   startFleet,
 } from '../../__tests__/startFleet.js'
 
-describe('the answer of an engine', () => {
+describe('the response of an engine', () => {
   let fleet: Fleet
 
   before(async () => {
@@ -52,10 +52,10 @@
     return callChat(fleet.callerUrl(), fleet.callerKey, 'chat-1', headers)
   }
 
-  function assertWhole(answer: CallerResponse): void {
-    assert.equal(answer.status, 200)
-    assert.ok(answer.complete)
-    assert.equal(answer.text, streamText(lastRun()))
+  function assertWhole(response: CallerResponse): void {
+    assert.equal(response.status, 200)
+    assert.ok(response.complete)
+    assert.equal(response.text, streamText(lastRun()))
   }
 
   it('is resumed where the stream is cut at any byte', async () => {
@@ -67,7 +67,7 @@
     }
   })
 
-  it('is resumed where it is cut twice and then goes silent', async () => {
+  it('is resumed where it is cut twice and then stalls', async () => {
     const ran = engine().runs.length
     engine().queuedFaults.push(
       { cutAfterEvents: 3 },
@@ -78,70 +78,70 @@
     assert.equal(engine().runs.length, ran + 1)
   })
 
-  it('is resumed where it ends without its end marker', async () => {
+  it('is resumed where it ends without an end marker', async () => {
     engine().queuedFaults.push({ withholdEnd: true })
     assertWhole(await call())
   })
 
-  it('ends visibly broken where the engine has forgotten the run', async () => {
+  it('is truncated detectably where the engine has lost the run', async () => {
     engine().queuedFaults.push({ cutAfterEvents: 2 }, { forgetRuns: true })
     engine().queuedFaults.push({ forgetRuns: true }, { forgetRuns: true })
     engine().queuedFaults.push({ forgetRuns: true })
-    const answer = await call()
-    assert.equal(answer.complete, false)
-    assert.ok(streamText(lastRun()).startsWith(answer.text))
+    const response = await call()
+    assert.equal(response.complete, false)
+    assert.ok(streamText(lastRun()).startsWith(response.text))
   })
 
-  it('ends visibly broken rather than go on with the stream of another run', async () => {
+  it('is truncated detectably rather than continued with the stream of another run', async () => {
     engine().queuedFaults.push({ cutAfterEvents: 2 })
     for (let tries = 0; tries < 4; tries += 1)
       engine().queuedFaults.push({ crossAnswers: true })
-    const answer = await call()
-    assert.equal(answer.complete, false)
-    assert.ok(streamText(lastRun()).startsWith(answer.text))
+    const response = await call()
+    assert.equal(response.complete, false)
+    assert.ok(streamText(lastRun()).startsWith(response.text))
   })
 
-  it('is not passed on where it belongs to another request', async () => {
+  it('is not forwarded where it belongs to another request', async () => {
     engine().queuedFaults.push({ crossAnswers: true })
-    const answer = await call({ 'x-auburnbay-idempotent': 'false' })
-    assert.equal(answer.status, 502)
-    assert.equal(answer.headers[VERDICT_HEADER], 'may-have-run')
-    assert.doesNotMatch(answer.text, /#0/)
+    const response = await call({ 'x-auburnbay-idempotent': 'false' })
+    assert.equal(response.status, 502)
+    assert.equal(response.headers[VERDICT_HEADER], 'may-have-run')
+    assert.doesNotMatch(response.text, /#0/)
   })
 
-  it('comes over a new connection where the kept ones went silent', async () => {
+  it('arrives over a new connection where the pooled ones have stalled', async () => {
     assertWhole(await call())
     engine().stallConnections()
-    const answer = await call()
-    assertWhole(answer)
-    assert.equal(answer.headers[TARGET_HEADER], 'engine-1')
+    const response = await call()
+    assertWhole(response)
+    assert.equal(response.headers[TARGET_HEADER], 'engine-1')
   })
 
-  it('is cut visibly where a body with a length is cut', async () => {
+  it('is truncated detectably where a body with a content length is cut', async () => {
     engine().queuedFaults.push({ cutAfterBytes: 40 })
-    const answer = await callApi({
+    const response = await callApi({
       url: `${fleet.callerUrl()}/v1/chat/completions`,
       method: 'POST',
       headers: { authorization: `Bearer ${fleet.callerKey}` },
       body: JSON.stringify({
         model: 'briefing',
-        messages: [{ role: 'user', content: 'whole' }],
+        messages: [{ role: 'user', content: 'complete' }],
       }),
     })
-    assert.equal(answer.status, 200)
-    assert.equal(answer.complete, false)
+    assert.equal(response.status, 200)
+    assert.equal(response.complete, false)
   })
 
-  it('is refused as not run when its deadline has passed', async () => {
+  it('is rejected as not run when the deadline has passed', async () => {
     const ran = engine().runs.length
-    const answer = await call({ 'x-auburnbay-deadline-ms': '0' })
-    assert.equal(answer.status, 504)
-    assert.equal(answer.headers[VERDICT_HEADER], 'not-run')
+    const response = await call({ 'x-auburnbay-deadline-ms': '0' })
+    assert.equal(response.status, 504)
+    assert.equal(response.headers[VERDICT_HEADER], 'not-run')
     assert.equal(engine().runs.length, ran)
   })
 })
 
-describe('the answer of an engine', () => {
+describe('a streamed response', () => {
   it('is cancelled at the engine when the deadline passes', async (t) => {
     const fleet = await startFleet({
       engines: 1,
@@ -150,27 +150,33 @@
     t.after(() => fleet.stop())
     const [engine] = fleet.engines
     assert.ok(engine)
-    // A deadline that passes before the answer begins is told in a whole 504;
-    // all of them are shorter than the run and the limit on silence.
-    let answer: CallerResponse | undefined
-    for (let ms = 60; answer?.status !== 200 && ms < 8_000; ms *= 2) {
+    // A deadline that passes before the response begins gets a complete 504. All
+    // deadlines are shorter than the run and the idle timeout.
+    let response: CallerResponse | undefined
+    for (let ms = 60; response?.status !== 200 && ms < 8_000; ms *= 2) {
       engine.queuedFaults.length = 0
       engine.queuedFaults.push({ silentAfterEvents: 2 })
       const headers = { 'x-auburnbay-deadline-ms': String(ms) }
-      answer = await callChat(fleet.callerUrl(), fleet.callerKey, 'c', headers)
-      if (answer.status !== 200) assert.equal(answer.status, 504, answer.text)
+      response = await callChat(
+        fleet.callerUrl(),
+        fleet.callerKey,
+        'c',
+        headers,
+      )
+      if (response.status !== 200)
+        assert.equal(response.status, 504, response.text)
     }
-    assert.equal(answer?.status, 200)
-    assert.equal(answer.complete, false)
+    assert.equal(response?.status, 200)
+    assert.equal(response.complete, false)
     const run = engine.runs.at(-1)
     assert.ok(run)
-    assert.ok(streamText(run).startsWith(answer.text))
+    assert.ok(streamText(run).startsWith(response.text))
     await eventually(() => run.cancelled)
     assert.equal(run.finished, false)
   })
 })
 
-describe('a stream whose caller goes away', () => {
+describe('a stream whose caller disconnects', () => {
   it('is cancelled at the engine', async () => {
     const fleet = await startFleet({
       engines: 1,
--- a/packages/daemon/src/node/createDaemon.ts
+++ b/packages/daemon/src/node/createDaemon.ts
@@ -90,7 +90,7 @@
     vms,
     membership: () => membership,
     client: peerClient,
-    reporter: () => loadPoller,
+    loadPoller: () => loadPoller,
     cacheEvents: () => cacheEvents,
     eligible: isEligible,
     metrics,
@@ -155,13 +155,13 @@
     logger: logs.forComponent('orders'),
   })
   const handlers: PeerHandlers = {
-    onHeartbeat: (heartbeat) => {
+    handleHeartbeat: (heartbeat) => {
       membership.recordHeartbeat(heartbeat)
       return self()
     },
-    onConfigurationSince: (req) => tailer.createTransfer(req),
-    onGrant: (req) => routing.onGrant(req),
-    onCollect: (req) => routing.onCollect(req),
+    handleTransferRequest: (req) => tailer.createTransfer(req),
+    handleGrantRequest: (req) => routing.handleGrantRequest(req),
+    handleCollectRequest: (req) => routing.handleCollectRequest(req),
   }
   const peerServer = await createPeerServer(settings, handlers, network)
 
--- a/packages/daemon/src/node/peers/peerApi.ts
+++ b/packages/daemon/src/node/peers/peerApi.ts
@@ -22,15 +22,15 @@
 
 /** Handlers of the calls from peers. */
 export interface PeerHandlers {
-  onHeartbeat(heartbeat: Heartbeat): Heartbeat
+  handleHeartbeat(heartbeat: Heartbeat): Heartbeat
   /** Returns records or a snapshot that a peer lacks; undefined without a log. */
-  onConfigurationSince(
+  handleTransferRequest(
     since: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
   /** Handles a request for slots as the coordinator of its group. */
-  onGrant(request: GrantRequest): GrantResponse
+  handleGrantRequest(request: GrantRequest): GrantResponse
   /** Returns the in-flight counts of this router to a new coordinator. */
-  onCollect(request: CollectRequest): CollectResponse
+  handleCollectRequest(request: CollectRequest): CollectResponse
 }
 
 /** Creates the tRPC procedures that routers call on each other. */
@@ -43,16 +43,16 @@
   return t.router({
     heartbeat: procedure
       .input(heartbeatSchema)
-      .mutation(({ input }) => handlers.onHeartbeat(input)),
+      .mutation(({ input }) => handlers.handleHeartbeat(input)),
     configurationSince: procedure
       .input(configurationTransferRequestSchema)
-      .mutation(({ input }) => handlers.onConfigurationSince(input)),
+      .mutation(({ input }) => handlers.handleTransferRequest(input)),
     grant: procedure
       .input(grantRequestSchema)
-      .mutation(({ input }) => handlers.onGrant(input)),
+      .mutation(({ input }) => handlers.handleGrantRequest(input)),
     collect: procedure
       .input(collectRequestSchema)
-      .mutation(({ input }) => handlers.onCollect(input)),
+      .mutation(({ input }) => handlers.handleCollectRequest(input)),
   })
 }
 
--- a/packages/daemon/src/node/routing/__tests__/grants.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/grants.test.ts
@@ -24,7 +24,7 @@
 async function start(options: FleetOptions): Promise<Fleet> {
   const started = await startFleet(options)
   fleet = started
-  await eventually(async () => (await homeOf(started)) !== undefined)
+  await eventually(async () => (await coordinatorOf(started)) !== undefined)
   return started
 }
 
@@ -33,15 +33,17 @@
   fleet = undefined
 })
 
-/** Index of the router that is home of the engines, once all routers agree. */
-async function homeOf(running: Fleet): Promise<number | undefined> {
-  const homes = new Set<string>()
+/** Returns the index of the engines’ coordinator once all routers agree on it. */
+async function coordinatorOf(running: Fleet): Promise<number | undefined> {
+  const coordinators = new Set<string>()
   for (const index of running.routers.keys()) {
-    const answer = await callApi({
+    const response = await callApi({
       url: `${running.adminUrl(index)}/explain?service=briefing&chat=c`,
       headers: { authorization: `Bearer ${TEST_ADMIN_TOKEN}` },
     })
-    homes.add((JSON.parse(answer.text) as { home?: string }).home ?? '')
+    coordinators.add(
+      (JSON.parse(response.text) as { home?: string }).home ?? '',
+    )
     const peers = await callApi({
       url: `${running.adminUrl(index)}/routers`,
       headers: { authorization: `Bearer ${TEST_ADMIN_TOKEN}` },
@@ -49,11 +51,12 @@
     for (const id of running.routers.keys())
       if (!peers.text.includes(`router-${id + 1}`)) return undefined
   }
-  const [home] = homes
-  return homes.size === 1 && home ? Number(home.split('-')[1]) - 1 : undefined
+  const [coordinator] = coordinators
+  if (coordinators.size !== 1 || !coordinator) return undefined
+  return Number(coordinator.split('-')[1]) - 1
 }
 
-/** Sends `count` chats at once through all routers and checks each answer. */
+/** Sends `count` chats at once through all routers and checks each response. */
 async function burst(
   running: Fleet,
   count: number,
@@ -63,17 +66,17 @@
     const url = running.callerUrl(through[index % through.length])
     return callChat(url, running.callerKey, `burst-${index}`)
   })
-  for (const answer of await Promise.all(calls)) {
-    assert.equal(answer.status, 200, answer.text)
-    assert.ok(answer.complete)
+  for (const response of await Promise.all(calls)) {
+    assert.equal(response.status, 200, response.text)
+    assert.ok(response.complete)
   }
 }
 
-/** Limit that no call of a test reaches, however busy the machine is. */
-const NO_LIMIT_MS = 600_000
+/** Timeout that no call of a test reaches, even on a busy machine. */
+const UNREACHED_TIMEOUT_MS = 600_000
 
-/** Starts a chat's stream; resolves at its head, while the run stays in flight. */
-function hold(running: Fleet, chat: string, through: number) {
+/** Starts a streaming chat; resolves at the response head, while the run is in flight. */
+function startStream(running: Fleet, chat: string, through: number) {
   return new Promise<IncomingMessage>((resolve, reject) => {
     const req = request(`${running.callerUrl(through)}/v1/chat/completions`, {
       method: 'POST',
@@ -93,7 +96,7 @@
   })
 }
 
-/** Asserts the bound on the engines' runs, none of which has left. */
+/** Asserts the load bound on the engines' runs, none of which has ended. */
 function assertWithinBound(running: Fleet, total: number): void {
   const loads = running.engines.map(({ runs }) => runs.length)
   assert.equal(
@@ -104,36 +107,36 @@
   assert.ok(Math.max(...loads) <= bound, `${loads.join()} over ${bound}`)
 }
 
-describe('grants of the home', () => {
-  it('keep the engines within the bound while all routers place', async (t) => {
-    // Calls between routers are limited by such signals.
+describe('grants of the coordinator', () => {
+  it('keep the engines within the bound while all routers send requests', async (t) => {
+    // Calls between routers time out by these signals.
     t.mock.method(AbortSignal, 'timeout', () => new AbortController().signal)
     const setTimer = globalThis.setTimeout
     t.mock.method(globalThis, 'setTimeout', (run: () => void, ms?: number) => {
       const timer = setTimer(run, ms)
-      return (ms ?? 0) < NO_LIMIT_MS ? timer : timer.unref()
+      return (ms ?? 0) < UNREACHED_TIMEOUT_MS ? timer : timer.unref()
     })
     const running = await start({
       routers: 3,
       engines: 4,
       settings: {
-        routing: { homeLimitMs: NO_LIMIT_MS },
-        peers: { heartbeatMs: 50, timeoutMs: NO_LIMIT_MS },
+        routing: { homeLimitMs: UNREACHED_TIMEOUT_MS },
+        peers: { heartbeatMs: 50, timeoutMs: UNREACHED_TIMEOUT_MS },
         targets: {
           reportMs: 50,
-          connectTimeoutMs: NO_LIMIT_MS,
-          firstByteTimeoutMs: NO_LIMIT_MS,
-          idleTimeoutMs: NO_LIMIT_MS,
+          connectTimeoutMs: UNREACHED_TIMEOUT_MS,
+          firstByteTimeoutMs: UNREACHED_TIMEOUT_MS,
+          idleTimeoutMs: UNREACHED_TIMEOUT_MS,
         },
       },
     })
     for (const { faults } of running.engines) faults.silentAfterEvents = 1
     const held: IncomingMessage[] = []
-    // While no run ends, a load within the bound at its placing stays there.
+    // While no run ends, a load that was within the bound stays within it.
     for (const count of [1, 1, 1, 2, 3, 4, 6, 9, 13]) {
       const from = held.length
       const calls = Array.from({ length: count }, (_, index) =>
-        hold(running, `burst-${from + index}`, (from + index) % 3),
+        startStream(running, `burst-${from + index}`, (from + index) % 3),
       )
       held.push(...(await Promise.all(calls)))
       for (const { statusCode } of held) assert.equal(statusCode, 200)
@@ -149,21 +152,21 @@
     )
   })
 
-  it('fall back to shares when the home has stopped', async () => {
+  it('are replaced by fallback quotas when the coordinator has stopped', async () => {
     const running = await start({
       routers: 3,
       engines: 4,
       engine: { wordDelayMs: 10 },
     })
-    const home = (await homeOf(running)) ?? 0
-    const others = [0, 1, 2].filter((index) => index !== home)
+    const coordinator = (await coordinatorOf(running)) ?? 0
+    const others = [0, 1, 2].filter((index) => index !== coordinator)
     const during = burst(running, 24, others)
-    await running.routers[home]?.stop()
+    await running.routers[coordinator]?.stop()
     await during
     await burst(running, 24, others)
   })
 
-  it('place at once when no home answers within the limit', async () => {
+  it('are not awaited beyond the coordinator timeout', async () => {
     const running = await start({
       routers: 2,
       engines: 3,
@@ -172,7 +175,7 @@
     await burst(running, 30, [0, 1])
   })
 
-  it('survive routers that hold different lists of VMs', async () => {
+  it('continue while routers have different VM lists', async () => {
     const running = await start({ routers: 3, engines: 4 })
     running.vmList.vms = running.vmList.vms.slice(0, 2)
     await burst(running, 24, [0, 1, 2])
@@ -182,38 +185,38 @@
 })
 
 describe('the affinity hint', () => {
-  async function served(running: Fleet, chat: string, hint?: string) {
+  async function sendChat(running: Fleet, chat: string, hint?: string) {
     const headers = hint === undefined ? undefined : { [HINT_HEADER]: hint }
-    const answer = await callChat(
+    const response = await callChat(
       running.callerUrl(0),
       running.callerKey,
       chat,
       headers,
     )
-    assert.equal(answer.status, 200, answer.text)
+    assert.equal(response.status, 200, response.text)
     return {
-      target: String(answer.headers[TARGET_HEADER]),
-      hint: String(answer.headers[HINT_HEADER]),
+      target: String(response.headers[TARGET_HEADER]),
+      hint: String(response.headers[HINT_HEADER]),
     }
   }
 
   const owner = { customer: 'corrib', service: 'briefing', chat: 'voyage' }
   const others = ['engine-1', 'engine-2', 'engine-3']
 
-  it('leads a chat to the target it names', async () => {
+  it('routes a chat to the target that it names', async () => {
     const running = await start({ engines: 3 })
-    const first = await served(running, 'voyage')
+    const first = await sendChat(running, 'voyage')
     for (const target of others) {
       const hint = signHint(HINT_SECRET, owner, target)
-      assert.equal((await served(running, 'voyage', hint)).target, target)
+      assert.equal((await sendChat(running, 'voyage', hint)).target, target)
     }
-    const again = await served(running, 'voyage', first.hint)
+    const again = await sendChat(running, 'voyage', first.hint)
     assert.equal(again.target, first.target)
   })
 
-  it('is ignored when it is forged or of another customer or chat', async () => {
+  it('is ignored when it is forged or belongs to another customer or chat', async () => {
     const running = await start({ engines: 3 })
-    const { target } = await served(running, 'voyage')
+    const { target } = await sendChat(running, 'voyage')
     const other = others.find((id) => id !== target) ?? ''
     const wrong = [
       signHint('another-secret-0123456789', owner, other),
@@ -222,12 +225,12 @@
       'nonsense',
     ]
     for (const hint of wrong)
-      assert.equal((await served(running, 'voyage', hint)).target, target)
+      assert.equal((await sendChat(running, 'voyage', hint)).target, target)
   })
 
-  it('never leads to a target that is leaving', async () => {
+  it('never routes to a departing target', async () => {
     const running = await start({ engines: 3 })
-    const { target, hint } = await served(running, 'voyage')
+    const { target, hint } = await sendChat(running, 'voyage')
     running.vmList.vms = [
       ...running.vmList.vms,
       {
@@ -239,9 +242,9 @@
       },
     ]
     await eventually(
-      async () => (await served(running, 'voyage', hint)).target !== target,
+      async () => (await sendChat(running, 'voyage', hint)).target !== target,
     )
     for (let tries = 0; tries < 5; tries += 1)
-      assert.notEqual((await served(running, 'voyage', hint)).target, target)
+      assert.notEqual((await sendChat(running, 'voyage', hint)).target, target)
   })
 })
--- a/packages/daemon/src/node/routing/chooseGroups.ts
+++ b/packages/daemon/src/node/routing/chooseGroups.ts
@@ -18,8 +18,8 @@
 const MAX_GROUPS_PER_REQUEST = 3
 
 /** Lists the groups to try: the hinted target's, then those with capacity. */
-export function chooseGroups(choice: ChooseGroupsOptions): TargetGroup[] {
-  const { table, load, key, hint, maxLoadFactor, eligible } = choice
+export function chooseGroups(options: ChooseGroupsOptions): TargetGroup[] {
+  const { table, load, key, hint, maxLoadFactor, eligible } = options
   if (table.groups.length === 1) return [...table.groups]
   const mean = load.mean(table, eligible)
   const chosen: TargetGroup[] = hint ? [hint.group] : []
--- a/packages/daemon/src/node/routing/createGroupAllocator.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocator.ts
@@ -61,8 +61,8 @@
   /** Counts a request that is already in flight. */
   recordInFlight(index: number): void
   release(index: number): void
-  onGrant(request: GrantRequest): GrantResponse
-  onCollect(request: CollectRequest): CollectResponse
+  handleGrantRequest(request: GrantRequest): GrantResponse
+  handleCollectRequest(request: CollectRequest): CollectResponse
   /** Applies the current membership view and sends pending messages. */
   update(): void
   /** Recomputes the fallback quota from new digests. */
@@ -223,8 +223,8 @@
       selector.release(index)
       sendPending()
     },
-    onGrant: handleGrantRequest,
-    onCollect: (request) => creditPool.handleCollectRequest(request),
+    handleGrantRequest,
+    handleCollectRequest: (request) => creditPool.handleCollectRequest(request),
     update() {
       const requests = coordinator.update({
         coordinator: view.coordinatorOf(group.id),
--- a/packages/daemon/src/node/routing/createGroupAllocators.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocators.ts
@@ -14,8 +14,8 @@
   all(): readonly GroupAllocator[]
   /** Removes the allocators of all other groups. */
   retain(groups: readonly TargetGroup[]): void
-  onGrant(request: GrantRequest): GrantResponse
-  onCollect(request: CollectRequest): CollectResponse
+  handleGrantRequest(request: GrantRequest): GrantResponse
+  handleCollectRequest(request: CollectRequest): CollectResponse
 }
 
 /** Creates allocators on demand; changed members mean a new allocator. */
@@ -42,9 +42,9 @@
       for (const id of allocators.keys())
         if (!ids.has(id)) allocators.delete(id)
     },
-    onGrant(request) {
+    handleGrantRequest(request) {
       const allocator = allocators.get(request.group)
-      if (allocator) return allocator.onGrant(request)
+      if (allocator) return allocator.handleGrantRequest(request)
       const granted = request.wants.map(() => -1)
       return {
         status: GrantStatus.NotCoordinator,
@@ -53,9 +53,9 @@
         loans: [],
       }
     },
-    onCollect(request) {
+    handleCollectRequest(request) {
       const allocator = allocators.get(request.group)
-      if (allocator) return allocator.onCollect(request)
+      if (allocator) return allocator.handleCollectRequest(request)
       return { accepted: false, epoch: 0, router, incarnation, used: [] }
     },
   }
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -43,7 +43,7 @@
   readonly vms: () => readonly VmEntry[]
   readonly membership: () => Pick<Membership, 'livePeers'>
   readonly client: Pick<PeerClient, 'grant' | 'collect'>
-  readonly reporter: () => Pick<LoadPoller, 'report'>
+  readonly loadPoller: () => Pick<LoadPoller, 'lastReport'>
   readonly cacheEvents: () => Pick<CacheEventReader, 'targetOf'>
   /** Whether the health of a target allows a request to be sent there. */
   readonly eligible: (targetId: string, idempotent: boolean) => boolean
@@ -109,7 +109,7 @@
       maxLoadFactor: () => maxLoadFactor(service),
       serviceMean: () => serviceMean(service),
       eligible,
-      reportedLoad: (id) => options.reporter().report(id)?.inFlight,
+      reportedLoad: (id) => options.loadPoller().lastReport(id)?.inFlight,
       cachedOn: (key) => options.cacheEvents().targetOf(key),
       onSelected: ({ source, waitedMs }) => {
         metrics.count('placements', 1, { service, source })
@@ -227,11 +227,12 @@
     status: createStatus({ tables, load, eligible, maxLoadFactor }),
     explain,
     ownInFlight: () => inFlight.toRecord(),
-    onGrant: (grantRequest) => {
+    handleGrantRequest: (grantRequest) => {
       updates.updateIfStale()
-      return allocators.onGrant(grantRequest)
+      return allocators.handleGrantRequest(grantRequest)
     },
-    onCollect: (collectRequest) => allocators.onCollect(collectRequest),
+    handleCollectRequest: (collectRequest) =>
+      allocators.handleCollectRequest(collectRequest),
     coordinatedTargets: (includeIdle) =>
       listCoordinatedTargets(
         configuration,
--- a/packages/daemon/src/node/routing/createUpdateScheduler.ts
+++ b/packages/daemon/src/node/routing/createUpdateScheduler.ts
@@ -23,7 +23,7 @@
 export function createUpdateScheduler(
   options: UpdateSchedulerOptions,
 ): UpdateScheduler {
-  const { update, isActive: inUse, intervalMs: everyMs, now } = options
+  const { update, isActive, intervalMs, now } = options
   let updatedAtMs = -Infinity
 
   const ageMs = (): number => now() - updatedAtMs
@@ -35,10 +35,10 @@
 
   return {
     updateIfStale() {
-      if (ageMs() > 2 * everyMs) run()
+      if (ageMs() > 2 * intervalMs) run()
     },
     updateIfDue() {
-      if (ageMs() >= IDLE_UPDATE_INTERVAL_MS || inUse()) run()
+      if (ageMs() >= IDLE_UPDATE_INTERVAL_MS || isActive()) run()
     },
   }
 }
--- a/packages/daemon/src/node/routing/routing.ts
+++ b/packages/daemon/src/node/routing/routing.ts
@@ -47,9 +47,9 @@
 /** Routing that also serves its peers as the coordinator of groups. */
 export interface CoordinatorRouting extends Routing {
   /** Handles a peer's request for slots; rejected by a non-coordinator. */
-  onGrant(request: GrantRequest): GrantResponse
+  handleGrantRequest(request: GrantRequest): GrantResponse
   /** Returns this router's in-flight counts to a new coordinator. */
-  onCollect(request: CollectRequest): CollectResponse
+  handleCollectRequest(request: CollectRequest): CollectResponse
   /** Engines of groups coordinated here; `includeIdle` adds idle groups. */
   coordinatedTargets(includeIdle: boolean): readonly TargetAddress[]
   stop(): Promise<void>
--- a/packages/daemon/src/node/security/__tests__/leaks.test.ts
+++ b/packages/daemon/src/node/security/__tests__/leaks.test.ts
@@ -36,7 +36,7 @@
     fleet = await startFleet({
       routers: 2,
       engines: 1,
-      parts: { spanProcessors: [new SimpleSpanProcessor(spans)] },
+      daemon: { spanProcessors: [new SimpleSpanProcessor(spans)] },
       settings: {
         logs: { level: DEBUG_LEVEL, format: LogFormat.Json },
         metrics: { host: '127.0.0.1', port: statsd.address().port },
--- a/packages/daemon/src/node/targets/createLoadPoller.ts
+++ b/packages/daemon/src/node/targets/createLoadPoller.ts
@@ -15,7 +15,7 @@
 /** Polls the load of targets and keeps the last report of each. */
 export interface LoadPoller {
   /** Returns the last report of a target; undefined before the first one. */
-  report(targetId: string): LoadReport | undefined
+  lastReport(targetId: string): LoadReport | undefined
   stop(): Promise<void>
 }
 
@@ -44,7 +44,7 @@
 
   const poller = createTargetPoller({ targets, intervalMs, poll })
   return {
-    report: (targetId) => reports.get(targetId),
+    lastReport: (targetId) => reports.get(targetId),
     stop: async () => {
       await poller.stop()
       agent.destroy()
--- a/packages/daemon/src/node/tracing/__tests__/hops.test.ts
+++ b/packages/daemon/src/node/tracing/__tests__/hops.test.ts
@@ -42,7 +42,7 @@
     fleet = await startFleet({
       routers: 2,
       engines: 1,
-      parts: { spanProcessors: [new SimpleSpanProcessor(exporter)] },
+      daemon: { spanProcessors: [new SimpleSpanProcessor(exporter)] },
     })
     const operations = [
       ...addService('echo', formatAddress(address)),
--- a/packages/measure/src/node/routing/measureControl.ts
+++ b/packages/measure/src/node/routing/measureControl.ts
@@ -105,12 +105,12 @@
     loans,
   }
   const server = await createPeerServer(settings, {
-    onHeartbeat: () => heartbeat,
-    onGrant: () => response,
-    onCollect: () => {
+    handleHeartbeat: () => heartbeat,
+    handleGrantRequest: () => response,
+    handleCollectRequest: () => {
       throw new Error('unexpected collect request')
     },
-    onConfigurationSince: () => undefined,
+    handleTransferRequest: () => undefined,
   })
   const client = createPeerClient(SECRET)
   const address = `${server.address.host}:${server.address.port}`
