--- a/packages/cli/src/node/commands/readJsonFile.ts
+++ b/packages/cli/src/node/commands/readJsonFile.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from 'neverthrow'
 
 /**
- * Reads a JSON file, or standard input for `-`; the error tells how to correct
+ * Reads a JSON file, or standard input for `-`; the error explains how to correct
  * the argument.
  */
 export function readJsonFile(path: string): Result<unknown, string> {
--- a/packages/core/src/node/leases/__tests__/leases.test.ts
+++ b/packages/core/src/node/leases/__tests__/leases.test.ts
@@ -4,7 +4,7 @@
 import { findHeldLease } from '../heldLease.js'
 import { applyLeaseRecord, createLeaseTable } from '../leaseTable.js'
 
-function ask(holder: string, requestId: string, ttlMs = 1_000) {
+function requestLease(holder: string, requestId: string, ttlMs = 1_000) {
   return { type: 'lease', name: 'orders', holder, ttlMs, requestId }
 }
 
@@ -12,15 +12,15 @@
   it('grants a lease to the first record in log order until it expires', () => {
     let table = createLeaseTable()
     const records = [
-      { offset: 4, atMs: 100, value: ask('a', '1') },
-      { offset: 5, atMs: 100, value: ask('b', '2') },
-      { offset: 6, atMs: 900, value: ask('a', '3') },
-      { offset: 7, atMs: 1_200, value: ask('b', '4') },
+      { offset: 4, atMs: 100, value: requestLease('a', '1') },
+      { offset: 5, atMs: 100, value: requestLease('b', '2') },
+      { offset: 6, atMs: 900, value: requestLease('a', '3') },
+      { offset: 7, atMs: 1_200, value: requestLease('b', '4') },
     ]
     for (const record of records) table = applyLeaseRecord(table, record)
     assert.equal(table.leases.get('orders')?.holder, 'a')
     assert.equal(table.leases.get('orders')?.token, 4)
-    const late = { offset: 8, atMs: 1_900, value: ask('b', '5') }
+    const late = { offset: 8, atMs: 1_900, value: requestLease('b', '5') }
     table = applyLeaseRecord(table, late)
     assert.equal(table.leases.get('orders')?.holder, 'b')
     assert.equal(table.leases.get('orders')?.token, 8)
@@ -43,7 +43,7 @@
         const sentAtMs = nowMs
         nowMs += delayMs
         const requestId = String(offset)
-        const value = ask(holder, requestId, ttlMs)
+        const value = requestLease(holder, requestId, ttlMs)
         table = applyLeaseRecord(table, { offset, atMs: nowMs, value })
         const sent = { name: 'orders', requestId, ttlMs, sentAtMs }
         const held = findHeldLease(table, sent)
--- a/packages/core/src/node/membership/__tests__/membership.test.ts
+++ b/packages/core/src/node/membership/__tests__/membership.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { FLAP_BASE_HOLD_MS, LEAVING_TTL_MS } from '../constants.js'
+import { FLAP_BASE_HOLD_MS, DEPARTURE_TTL_MS } from '../constants.js'
 import { createPeerLiveness } from '../createPeerLiveness.js'
 import { MemberState } from '../memberState.js'
 import { type VmEntry, VmRole } from '../vmEntry.js'
@@ -59,20 +59,20 @@
 
   it('shows an unlisted target live again after its departure expired', () => {
     const view = applyReportedDepartures(createMembershipView(), { x: 0 }, 0)
-    assert.equal(stateOf(view, 'x', LEAVING_TTL_MS), MemberState.Leaving)
-    const later = applyReportedDepartures(view, {}, LEAVING_TTL_MS + 1)
-    assert.equal(stateOf(later, 'x', LEAVING_TTL_MS + 1), MemberState.Live)
+    assert.equal(stateOf(view, 'x', DEPARTURE_TTL_MS), MemberState.Leaving)
+    const later = applyReportedDepartures(view, {}, DEPARTURE_TTL_MS + 1)
+    assert.equal(stateOf(later, 'x', DEPARTURE_TTL_MS + 1), MemberState.Live)
   })
 
   it('does not let routers keep a departure alive by reporting it to each other', () => {
     let left = applyVmList(createMembershipView(), six, 0)
     let right = applyReportedDepartures(left, { a: 0 }, 0)
-    for (let nowMs = 500; nowMs <= 2 * LEAVING_TTL_MS; nowMs += 500) {
+    for (let nowMs = 500; nowMs <= 2 * DEPARTURE_TTL_MS; nowMs += 500) {
       left = applyReportedDepartures(left, departureAges(right, nowMs), nowMs)
       right = applyReportedDepartures(right, departureAges(left, nowMs), nowMs)
     }
-    assert.equal(stateOf(left, 'a', 2 * LEAVING_TTL_MS), MemberState.Live)
-    assert.equal(stateOf(right, 'a', 2 * LEAVING_TTL_MS), MemberState.Live)
+    assert.equal(stateOf(left, 'a', 2 * DEPARTURE_TTL_MS), MemberState.Live)
+    assert.equal(stateOf(right, 'a', 2 * DEPARTURE_TTL_MS), MemberState.Live)
   })
 
   it('never shows a target as live that the newest list shows as leaving', () => {
--- a/packages/core/src/node/membership/membershipView.ts
+++ b/packages/core/src/node/membership/membershipView.ts
@@ -1,12 +1,12 @@
 import {
-  DEPARTED_MAX_IDS,
+  MAX_DEPARTED_TARGETS,
   FLAP_BASE_HOLD_MS,
   FLAP_MAX_HOLD_MS,
   FLAP_RESET_MS,
-  REPORTED_LEAVING_MAX_IDS,
-  LEAVING_ANNOUNCE_MS,
-  LEAVING_MAX_IDS,
-  LEAVING_TTL_MS,
+  MAX_REPORTED_DEPARTURES,
+  DEPARTURE_ANNOUNCE_MS,
+  MAX_HEARTBEAT_DEPARTURES,
+  DEPARTURE_TTL_MS,
 } from './constants.js'
 import { MemberState } from './memberState.js'
 import { type VmEntry, VmRole } from './vmEntry.js'
@@ -101,7 +101,7 @@
   for (const [id, vm] of [...view.departed, ...view.listed])
     if (vm.role === VmRole.Target && !next.has(id)) departed.set(id, vm)
   for (const id of departed.keys()) {
-    if (departed.size <= DEPARTED_MAX_IDS) break
+    if (departed.size <= MAX_DEPARTED_TARGETS) break
     departed.delete(id)
   }
   return departed
@@ -124,7 +124,7 @@
 
 /**
  * Applies a new VM list. If more than half of the VMs of a role vanish at once,
- * the list is taken for incomplete and these VMs are kept.
+ * the list is considered incomplete and these VMs are kept.
  */
 export function applyVmList(
   view: MembershipView,
@@ -153,13 +153,13 @@
 ): MembershipView {
   const reportedLeavingAtMs = new Map(view.reportedLeavingAtMs)
   for (const [id, ageMs] of Object.entries(ages)) {
-    if (ageMs > LEAVING_TTL_MS) continue
+    if (ageMs > DEPARTURE_TTL_MS) continue
     const knownMs = reportedLeavingAtMs.get(id) ?? -Infinity
     reportedLeavingAtMs.delete(id)
     reportedLeavingAtMs.set(id, Math.max(knownMs, nowMs - ageMs))
   }
   for (const id of reportedLeavingAtMs.keys()) {
-    if (reportedLeavingAtMs.size <= REPORTED_LEAVING_MAX_IDS) break
+    if (reportedLeavingAtMs.size <= MAX_REPORTED_DEPARTURES) break
     reportedLeavingAtMs.delete(id)
   }
   return { ...view, reportedLeavingAtMs }
@@ -172,19 +172,19 @@
 ): Record<string, number> {
   const ages = new Map<string, number>()
   for (const [id, atMs] of view.reportedLeavingAtMs)
-    if (nowMs - atMs <= LEAVING_TTL_MS) ages.set(id, Math.ceil(nowMs - atMs))
-  // After LEAVING_ANNOUNCE_MS the VM lists of all peers show the departure too.
+    if (nowMs - atMs <= DEPARTURE_TTL_MS) ages.set(id, Math.ceil(nowMs - atMs))
+  // After DEPARTURE_ANNOUNCE_MS the VM lists of all peers show the departure too.
   for (const [id, atMs] of view.observedLeavingAtMs)
-    if (nowMs - atMs <= LEAVING_ANNOUNCE_MS) ages.set(id, 0)
+    if (nowMs - atMs <= DEPARTURE_ANNOUNCE_MS) ages.set(id, 0)
   const youngest = [...ages].sort((a, b) => a[1] - b[1])
-  return Object.fromEntries(youngest.slice(0, LEAVING_MAX_IDS))
+  return Object.fromEntries(youngest.slice(0, MAX_HEARTBEAT_DEPARTURES))
 }
 
-/** Returns the VMs; one is leaving if the list, a peer or flap damping says so. */
+/** Returns the VMs; one is leaving if the list, a peer or flap damping marks it so. */
 export function currentVms(view: MembershipView, nowMs: number): VmEntry[] {
   const vms: VmEntry[] = []
   const isReported = (id: string): boolean =>
-    nowMs - (view.reportedLeavingAtMs.get(id) ?? -Infinity) <= LEAVING_TTL_MS
+    nowMs - (view.reportedLeavingAtMs.get(id) ?? -Infinity) <= DEPARTURE_TTL_MS
   for (const [id, vm] of view.listed) {
     const isFlapping =
       vm.role === VmRole.Target &&
--- a/packages/core/src/node/routing/__tests__/grants.test.ts
+++ b/packages/core/src/node/routing/__tests__/grants.test.ts
@@ -34,9 +34,9 @@
 const stepArbitrary = fc.record({
   router: fc.nat(2),
   action: fc.constantFrom(
-    'place',
-    'place',
-    'place',
+    'request slot',
+    'request slot',
+    'request slot',
     'finish',
     'lose response',
     'report',
--- a/packages/core/src/node/routing/createGroupCoordinator.ts
+++ b/packages/core/src/node/routing/createGroupCoordinator.ts
@@ -61,7 +61,7 @@
 
 /** Milliseconds between two collect requests to the same router. */
 const COLLECT_RETRY_MS = 200
-/** Milliseconds to wait after a higher epoch was seen; doubles each time. */
+/** Milliseconds to wait after a higher epoch was received; doubles each time. */
 const BASE_BACKOFF_MS = 100
 const MAX_BACKOFF_MS = 5_000
 /** Milliseconds of granting after which the backoff starts over. */
--- a/packages/core/src/node/routing/createGroupTargetSelector.ts
+++ b/packages/core/src/node/routing/createGroupTargetSelector.ts
@@ -126,7 +126,12 @@
       if (!fallbackQuota.hasQuota(index)) continue
       fallbackQuota.consume(index)
       creditPool.addInFlight(index)
-      return { requestId, index, source: SelectionSource.Share, waitedMs }
+      return {
+        requestId,
+        index,
+        source: SelectionSource.FallbackQuota,
+        waitedMs,
+      }
     }
     const index = fallbackQuota.findMostHeadroom(placement.exclude)
     if (index === undefined || !context.eligible(index))
--- a/packages/core/src/node/routing/grantMessages.ts
+++ b/packages/core/src/node/routing/grantMessages.ts
@@ -41,7 +41,7 @@
   readonly loans: readonly number[]
 }
 
-/** Requests a router’s in-flight counts before a new coordinator grants slots. */
+/** Requests a router's in-flight counts before a new coordinator grants slots. */
 export interface CollectRequest {
   readonly group: string
   readonly membersHash: number
--- a/packages/core/src/node/routing/selectionSource.ts
+++ b/packages/core/src/node/routing/selectionSource.ts
@@ -5,7 +5,7 @@
   /** A grant of the coordinator for this request. */
   Grant = 'grant',
   /** This router's fallback quota, without the coordinator. */
-  Share = 'share',
+  FallbackQuota = 'share',
   /** No fallback quota left: the target with the most headroom. */
   Forced = 'forced',
   /** No target can take the request. */
--- a/packages/core/src/node/verdict/__tests__/attemptProgress.test.ts
+++ b/packages/core/src/node/verdict/__tests__/attemptProgress.test.ts
@@ -20,10 +20,11 @@
           .reduce(combineVerdicts, Verdict.NotRun)
         const reached = attempts.some(
           (one) =>
-            one === AttemptProgress.Written || one === AttemptProgress.Answered,
+            one === AttemptProgress.Written ||
+            one === AttemptProgress.Responded,
         )
         assert.equal(verdict === Verdict.NotRun, !reached)
-        const answered = attempts.includes(AttemptProgress.Answered)
+        const answered = attempts.includes(AttemptProgress.Responded)
         assert.equal(verdict === Verdict.Ran, answered)
       }),
       { seed: SEED },
--- a/packages/core/src/node/verdict/attemptProgress.ts
+++ b/packages/core/src/node/verdict/attemptProgress.ts
@@ -9,7 +9,7 @@
   /** The target responded that it rejected the request before running it. */
   Refused = 'refused',
   /** The response headers of the target were received. */
-  Answered = 'answered',
+  Responded = 'answered',
 }
 
 /** Returns the verdict on an attempt that failed after `progress`. */
@@ -20,7 +20,7 @@
       return Verdict.NotRun
     case AttemptProgress.Written:
       return Verdict.MayHaveRun
-    case AttemptProgress.Answered:
+    case AttemptProgress.Responded:
       return Verdict.Ran
   }
 }
--- a/packages/daemon/src/node/admin/__tests__/adminApi.test.ts
+++ b/packages/daemon/src/node/admin/__tests__/adminApi.test.ts
@@ -91,8 +91,8 @@
     const second = await post('/config/patches', patch)
     assert.equal(second.status, 200)
     assert.equal(second.body.version, first.body.version)
-    const asked = await get('/config/patches/submitted-twice')
-    assert.equal(asked.body.version, first.body.version)
+    const outcome = await get('/config/patches/submitted-twice')
+    assert.equal(outcome.body.version, first.body.version)
   })
 
   it('applies only one of two concurrent patches submitted to two routers', async () => {
--- a/packages/daemon/src/node/admission/__tests__/queueing.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/queueing.test.ts
@@ -113,9 +113,9 @@
 
   it('removes a request whose caller disconnects', async () => {
     const before = ranChats().length
-    const gone = call('gone')
+    const disconnected = call('disconnected')
     await waitForQueued(1)
-    gone.disconnect()
+    disconnected.disconnect()
     await waitForQueued(0)
     blocker.disconnect()
     assert.equal((await call('next').response)?.status, 200)
@@ -147,11 +147,11 @@
   it('does not block another service', async () => {
     const low = call('tag')
     await waitForQueued(1)
-    const answer = await callApi({
+    const response = await callApi({
       url: `${fleet.callerUrl()}/v1/services/charts/notices`,
       headers: { authorization: `Bearer ${fleet.callerKey}` },
     })
-    assert.equal(answer.status, 200)
+    assert.equal(response.status, 200)
     blocker.disconnect()
     assert.equal((await low.response)?.status, 200)
   })
--- a/packages/daemon/src/node/admission/queueExitFailure.ts
+++ b/packages/daemon/src/node/admission/queueExitFailure.ts
@@ -21,7 +21,7 @@
         undefined,
         RETRY_AFTER_S,
       )
-    case QueueExitReason.CallerGone:
+    case QueueExitReason.CallerDisconnected:
       return createFailure(
         FailureCode.DeadlinePassed,
         'the caller disconnected while the request waited',
--- a/packages/daemon/src/node/admission/queueExitReason.ts
+++ b/packages/daemon/src/node/admission/queueExitReason.ts
@@ -4,12 +4,12 @@
 export enum QueueExitReason {
   Shed = 'shed',
   Expired = 'expired',
-  CallerGone = 'caller-gone',
+  CallerDisconnected = 'caller-gone',
 }
 
 /** Returns whether the deadline passed or the caller disconnected. */
 export function exitReasonOf(aborted: AbortSignal): QueueExitReason {
   return aborted.reason instanceof DeadlinePassed
     ? QueueExitReason.Expired
-    : QueueExitReason.CallerGone
+    : QueueExitReason.CallerDisconnected
 }
--- a/packages/daemon/src/node/callers/__tests__/verdicts.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/verdicts.test.ts
@@ -90,7 +90,7 @@
     })
   }
 
-  it('runs once when non-idempotent and the kept connections are half-open', async () => {
+  it('runs once when non-idempotent and the pooled connections are half-open', async () => {
     const before = fleet.plain.calls.length
     assert.equal((await call('GET')).status, 200)
     fleet.plain.stallConnections()
@@ -99,7 +99,7 @@
     assert.equal(fleet.plain.calls.length - before, 2)
   })
 
-  it('succeeds when idempotent and the kept connections are half-open', async () => {
+  it('succeeds when idempotent and the pooled connections are half-open', async () => {
     assert.equal((await call('GET')).status, 200)
     fleet.plain.stallConnections()
     assert.equal((await call('GET')).status, 200)
--- a/packages/daemon/src/node/callers/createDispatcher.ts
+++ b/packages/daemon/src/node/callers/createDispatcher.ts
@@ -11,7 +11,7 @@
 import { Hop, type Tracing } from '../tracing/createTracing.js'
 import { spanAttributes } from '../tracing/spanAttributes.js'
 import { type Attempt, createAttempt } from './createAttempt.js'
-import { createRelay } from './createRelay.js'
+import { createResponseRelay } from './createResponseRelay.js'
 import { limitToDeadline } from './limitToDeadline.js'
 import type { RoutedRequest } from './routedRequest.js'
 
@@ -43,7 +43,7 @@
 export function createDispatcher(options: DispatcherOptions): Dispatcher {
   const { admission, claims, tracing, retries } = options
   const sendAttempt = createAttempt(options)
-  const relay = createRelay(options)
+  const relay = createResponseRelay(options)
 
   async function sendWithRetries(
     request: RoutedRequest,
--- a/packages/daemon/src/node/callers/createRelay.ts
+++ b/packages/daemon/src/node/callers/createResponseRelay.ts
@@ -23,15 +23,15 @@
   readonly parent: Context
 }
 
-/** Options for {@link createRelay}. */
-export interface RelayOptions {
+/** Options for {@link createResponseRelay}. */
+export interface ResponseRelayOptions {
   readonly targets: TargetClient
   readonly tracing: Tracing
   readonly metrics: Metrics
 }
 
 /** Relays a response; if it is truncated, aborts it for the caller and rejects. */
-export type Relay = (call: RelayCall) => Promise<void>
+export type ResponseRelay = (call: RelayCall) => Promise<void>
 
 function isEventStream({ request, response }: RelayCall): boolean {
   if (request.serviceKind !== ServiceKind.Model) return false
@@ -40,7 +40,7 @@
 }
 
 /**
- * Aborts a response so that the caller cannot take it for a complete one.
+ * Aborts a response so that the caller cannot mistake it for a complete one.
  *
  * Without framing, an ordinary close would look like the end of the body, so the
  * connection is reset.
@@ -53,7 +53,9 @@
 }
 
 /** Creates the function that relays responses to callers. */
-export function createRelay(options: RelayOptions): Relay {
+export function createResponseRelay(
+  options: ResponseRelayOptions,
+): ResponseRelay {
   const { targets, tracing, metrics } = options
 
   function createResume(call: RelayCall, runId: string): ResumeStream {
--- a/packages/daemon/src/node/callers/relayEventStream.ts
+++ b/packages/daemon/src/node/callers/relayEventStream.ts
@@ -29,7 +29,7 @@
   }
 }
 
-/** Relays an event stream in complete events and resumes it where it is cut. */
+/** Relays an event stream in complete events and resumes it where it is truncated. */
 export async function relayEventStream(
   res: ServerResponse,
   first: TargetResponse,
@@ -44,18 +44,18 @@
     if (response)
       await relayResponse(res, response, assembler).catch(() => undefined)
     if (assembler.done) return
-    const { fault, nextEventNumber: nextNumber } = assembler
+    const { fault, nextEventNumber } = assembler
     if (fault !== undefined)
       throw new Error(`the event stream is invalid: ${fault}`)
-    if (nextNumber === undefined)
+    if (nextEventNumber === undefined)
       throw new Error('the stream was cut and cannot be resumed')
     if (signal.aborted || res.destroyed)
       throw new Error('the caller disconnected or the deadline passed')
-    emptyResumes = nextNumber === before ? emptyResumes + 1 : 0
+    emptyResumes = nextEventNumber === before ? emptyResumes + 1 : 0
     if (emptyResumes > MAX_EMPTY_RESUMES)
       throw new Error(`${emptyResumes} consecutive resumes brought no event`)
     if (emptyResumes > 0) await sleep(RESUME_BACKOFF_MS * emptyResumes)
-    response = await resume(nextNumber)
+    response = await resume(nextEventNumber)
     assembler.resume()
   }
 }
--- a/packages/daemon/src/node/claims/claims.ts
+++ b/packages/daemon/src/node/claims/claims.ts
@@ -4,7 +4,7 @@
 
 /** A claim won by this router, which alone may dispatch the request. */
 export interface WonClaim {
-  /** Records the status that a target answered with. */
+  /** Records the status of the target's response. */
   recordStatus(status: number): void
   /** Records a failure; `Verdict.NotRun` releases the key. */
   recordFailure(verdict: Verdict): void
@@ -12,7 +12,7 @@
 
 /** Decides through the log which router dispatches a non-idempotent request. */
 export interface Claims {
-  /** Claims an idempotency key; a failure says what is known of the key. */
+  /** Claims an idempotency key; a failure reports what is known about the key. */
   claim(
     request: RoutedRequest,
     idempotencyKey: string,
--- a/packages/daemon/src/node/orders/createOrderTask.ts
+++ b/packages/daemon/src/node/orders/createOrderTask.ts
@@ -6,7 +6,7 @@
   type EngineState,
   type HeldLease,
   type InFlightSample,
-  LEAVING_TTL_MS,
+  DEPARTURE_TTL_MS,
   type OrderAction,
   OrderActionKind,
   type ManagedTarget,
@@ -157,7 +157,10 @@
     for (const target of drainingSinceMs.keys()) {
       if (toDrain.has(target) || ordersInFlight.has(target)) continue
       drainingSinceMs.delete(target)
-      readmittedAtMs.set(target, now() + LEAVING_TTL_MS + DRAIN_PROPAGATION_MS)
+      readmittedAtMs.set(
+        target,
+        now() + DEPARTURE_TTL_MS + DRAIN_PROPAGATION_MS,
+      )
     }
     options.announceDraining([...drainingSinceMs.keys()])
   }
--- a/packages/daemon/src/node/routing/__tests__/cacheEvents.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/cacheEvents.test.ts
@@ -25,22 +25,22 @@
 
   async function targetOf(chat: string, hint?: string): Promise<string> {
     const headers = hint === undefined ? undefined : { [HINT_HEADER]: hint }
-    const answer = await callChat(
+    const response = await callChat(
       fleet.callerUrl(),
       fleet.callerKey,
       chat,
       headers,
     )
-    assert.equal(answer.status, 200, answer.text)
-    return String(answer.headers[TARGET_HEADER])
+    assert.equal(response.status, 200, response.text)
+    return String(response.headers[TARGET_HEADER])
   }
 
   async function hintedTarget(chat: string): Promise<unknown> {
-    const answer = await callApi({
+    const response = await callApi({
       url: `${fleet.adminUrl()}/explain?service=briefing&chat=${chat}`,
       headers: { authorization: `Bearer ${TEST_ADMIN_TOKEN}` },
     })
-    const explanation = JSON.parse(answer.text) as Record<string, unknown>
+    const explanation = JSON.parse(response.text) as Record<string, unknown>
     assert.equal(
       explanation.hintSource,
       explanation.hintedTarget ? 'cache-events' : 'none',
--- a/packages/daemon/src/node/routing/__tests__/draining.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/draining.test.ts
@@ -7,16 +7,20 @@
 const CHATS = 12
 
 describe('a target that an operator drains', () => {
-  it('gets no new requests, not even of its own chats, until draining ends', async () => {
+  it('gets no new requests, not even of chats that it served, until draining ends', async () => {
     const fleet = await startFleet({ engines: 2 })
     const path = '/targets/engine-1/draining'
     const targetsOfChats = async (): Promise<Set<unknown>> => {
       const targets = new Set<unknown>()
       for (let chat = 0; chat < CHATS; chat += 1) {
         const { callerKey } = fleet
-        const answer = await callChat(fleet.callerUrl(), callerKey, `c-${chat}`)
-        assert.equal(answer.status, 200)
-        targets.add(answer.headers[TARGET_HEADER])
+        const response = await callChat(
+          fleet.callerUrl(),
+          callerKey,
+          `c-${chat}`,
+        )
+        assert.equal(response.status, 200)
+        targets.add(response.headers[TARGET_HEADER])
       }
       return targets
     }
--- a/packages/daemon/src/node/routing/__tests__/grants.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/grants.test.ts
@@ -33,7 +33,7 @@
   fleet = undefined
 })
 
-/** Returns the index of the engines’ coordinator once all routers agree on it. */
+/** Returns the index of the engines' coordinator once all routers agree on it. */
 async function coordinatorOf(running: Fleet): Promise<number | undefined> {
   const coordinators = new Set<string>()
   for (const index of running.routers.keys()) {
--- a/packages/daemon/src/node/targets/createTargetClient.ts
+++ b/packages/daemon/src/node/targets/createTargetClient.ts
@@ -135,8 +135,7 @@
   return {
     async send(target, routed, traceHeaders, options = {}) {
       // A pooled connection may close while a request is being written to it,
-      // so
-      // only idempotent requests use one.
+      // so only idempotent requests use one.
       const needsNewConnection =
         !routed.idempotent || options.newConnection === true
       const result = await sendExchange(target, {
--- a/packages/router/src/node/callers/admitRequest.ts
+++ b/packages/router/src/node/callers/admitRequest.ts
@@ -9,7 +9,7 @@
 import { failures } from './failures.js'
 
 /** An admitted request, without the body, deadline and signal of the call. */
-export type AdmittedRequest = Omit<Call, 'body' | 'signal' | 'dueAtMs'>
+export type AdmittedRequest = Omit<Call, 'body' | 'signal' | 'deadlineAtMs'>
 
 function pathOf(url: string): string {
   const query = url.indexOf('?')
--- a/packages/router/src/node/callers/call.ts
+++ b/packages/router/src/node/callers/call.ts
@@ -16,7 +16,7 @@
   readonly service: string
   readonly customer?: Customer
   /** Deadline of the final response on the monotonic clock, in milliseconds. */
-  readonly dueAtMs: number
+  readonly deadlineAtMs: number
   /** Aborted when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal
 }
--- a/packages/router/src/node/callers/callProgress.ts
+++ b/packages/router/src/node/callers/callProgress.ts
@@ -41,18 +41,18 @@
 /** Returns whether the call may be sent again although a target may have run it. */
 export function canRetry(
   call: Call,
-  { relay, possibleRuns: runs }: CallProgress,
+  { relay, possibleRuns }: CallProgress,
 ): boolean {
   if (!relay.canReplace) return false
-  return isRetryable(call) && runs < call.route.maxAttempts
+  return isRetryable(call) && possibleRuns < call.route.maxAttempts
 }
 
 /** Returns whether the call may be sent again if the next target does not respond in time. */
 export function canRetryAfterTimeout(
   call: Call,
-  { possibleRuns: runs }: CallProgress,
+  { possibleRuns }: CallProgress,
 ): boolean {
-  return isRetryable(call) && runs + 1 < call.route.maxAttempts
+  return isRetryable(call) && possibleRuns + 1 < call.route.maxAttempts
 }
 
 /** Returns the failure to report for a call that got no complete response. */
@@ -62,7 +62,8 @@
   nowMs: number,
 ): RequestFailure {
   if (progress.verdict === Verdict.NotRun) {
-    if (call.dueAtMs - nowMs < MIN_REMAINING_MS) return failures.deadlinePassed
+    if (call.deadlineAtMs - nowMs < MIN_REMAINING_MS)
+      return failures.deadlinePassed
     return progress.sends === 0 ? failures.noTarget : failures.targetsRefused
   }
   const timedOut =
--- a/packages/router/src/node/callers/createCallerServer.ts
+++ b/packages/router/src/node/callers/createCallerServer.ts
@@ -33,7 +33,7 @@
 /** Options for {@link createCallerServer}. */
 export interface CallerServerOptions {
   readonly address: ListenAddress
-  readonly configurations: ConfigurationStore
+  readonly configurationStore: ConfigurationStore
   readonly protocol: CallerProtocol
   readonly dispatcher: Dispatcher
   readonly log: DecisionLog
@@ -49,8 +49,8 @@
   readonly address: ListenAddress
   /** Number of requests in flight. */
   readonly inFlight: number
-  /** Makes every further response close its connection. */
-  closeAfterResponses(): void
+  /** Closes each connection after its current or next response. */
+  disableKeepAlive(): void
   /** Stops listening, closes idle connections and refuses further requests as not run. */
   stopAccepting(): void
   /** Closes every connection. */
@@ -61,9 +61,10 @@
 export async function createCallerServer(
   options: CallerServerOptions,
 ): Promise<CallerServer> {
-  const { configurations, protocol, dispatcher, log, metrics, now } = options
+  const { configurationStore, protocol, dispatcher, log, metrics, now } =
+    options
   let inFlight = 0
-  let closeConnections = false
+  let keepAliveDisabled = false
   let refuseRequests = false
 
   function refuse(
@@ -76,7 +77,7 @@
       status: failure.status,
       code: failure.code,
       verdict: failure.verdict,
-      version: configurations.version,
+      version: configurationStore.version,
     })
     sendFailure(res, failure)
   }
@@ -100,7 +101,7 @@
       ...admitted,
       body,
       signal: aborter.signal,
-      dueAtMs: startedAtMs + limitMs,
+      deadlineAtMs: startedAtMs + limitMs,
     }
     const outcome = await dispatcher.dispatch(call, res)
     const { failure, sends, target } = outcome
@@ -119,7 +120,7 @@
       route: route.name,
       service: admitted.service,
       customer: admitted.customer?.name,
-      version: configurations.version,
+      version: configurationStore.version,
       targetsAgeMs: Math.round(options.targetsAgeMs()),
       target,
       sends,
@@ -136,7 +137,7 @@
     res: ServerResponse,
   ): Promise<void> {
     const request = protocol.decodeRequest(req)
-    const limits = configurations.current?.configuration.limits
+    const limits = configurationStore.current?.configuration.limits
     const maxBytes = limits?.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES
     const body = await readBody(req, maxBytes)
     if (body.isErr()) {
@@ -145,8 +146,8 @@
       refuse(res, request.attemptId, failures.bodyTooLarge)
       return
     }
-    if (closeConnections) res.shouldKeepAlive = false
-    const active = configurations.current
+    if (keepAliveDisabled) res.shouldKeepAlive = false
+    const active = configurationStore.current
     const admitted = active
       ? admitRequest(req, request, active)
       : err(failures.starting)
@@ -168,7 +169,7 @@
       connectionsCheckingInterval: CONNECTION_CHECK_MS,
     },
     (req, res) => {
-      const limits = configurations.current?.configuration.limits
+      const limits = configurationStore.current?.configuration.limits
       if (limits) {
         server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS
         server.headersTimeout = limits.headerTimeoutMs
@@ -192,8 +193,8 @@
     get inFlight() {
       return inFlight
     },
-    closeAfterResponses() {
-      closeConnections = true
+    disableKeepAlive() {
+      keepAliveDisabled = true
     },
     stopAccepting() {
       refuseRequests = true
--- a/packages/router/src/node/callers/createDispatcher.ts
+++ b/packages/router/src/node/callers/createDispatcher.ts
@@ -72,7 +72,7 @@
     progress: CallProgress,
     sentAtMs: number,
   ): number {
-    const remainingMs = call.dueAtMs - sentAtMs
+    const remainingMs = call.deadlineAtMs - sentAtMs
     if (!canRetryAfterTimeout(call, progress)) return remainingMs
     const { name, targetLatencyMs } = call.route
     return Math.min(remainingMs, headerTimeout.timeoutMs(name, targetLatencyMs))
@@ -180,7 +180,7 @@
         options: {
           target,
           bodyBytes: call.body.length,
-          remainingMs: call.dueAtMs - sentAtMs,
+          remainingMs: call.deadlineAtMs - sentAtMs,
           ...(customer && { customer: customer.name }),
           ...(route.cachesPrompts && {
             priority: customer?.priority ?? route.priority,
@@ -222,7 +222,7 @@
     }
 
     while (progress.sends < MAX_SENDS && !call.signal.aborted) {
-      if (call.dueAtMs - now() < MIN_REMAINING_MS) break
+      if (call.deadlineAtMs - now() < MIN_REMAINING_MS) break
       const target = selector.select(call, progress.triedTargets)
       if (!target) break
       const next = await sendTo(call, target, progress)
--- a/packages/router/src/node/callers/failures.ts
+++ b/packages/router/src/node/callers/failures.ts
@@ -2,7 +2,7 @@
 import type { RequestFailure } from '@auburnbay/core/verdict/requestFailure'
 import { Verdict } from '@auburnbay/core/verdict/verdict'
 
-/** Retry-After while this router stops: by then another router takes the request. */
+/** Retry-After while this router stops: by then another router gets the request. */
 const OTHER_ROUTER_RETRY_AFTER_S = 0.1
 /** Retry-After while this router starts: the time to load the configuration. */
 const STARTING_RETRY_AFTER_S = 0.5
@@ -25,7 +25,7 @@
   }
 }
 
-/** Failures that the router reports itself, not passed on from a target. */
+/** Failures that the router itself reports, not forwarded from a target. */
 export const failures = {
   starting: createNotRunFailure(
     FailureCode.Starting,
--- a/packages/router/src/node/callers/relayOutcome.ts
+++ b/packages/router/src/node/callers/relayOutcome.ts
@@ -1,6 +1,6 @@
 /** How forwarding a response body ended. */
 export enum RelayOutcome {
-  /** The whole body was forwarded. */
+  /** The complete body was forwarded. */
   Complete = 'complete',
   /** The response of the target was truncated. */
   Broken = 'broken',
--- a/packages/router/src/node/configuration/__tests__/createConfigurationStore.test.ts
+++ b/packages/router/src/node/configuration/__tests__/createConfigurationStore.test.ts
@@ -4,8 +4,8 @@
 import { createConfigurationStore } from '../createConfigurationStore.js'
 import { testConfiguration } from './testConfiguration.js'
 
-describe('createConfigurationKeeper', () => {
-  it('keeps the highest version in whatever order versions arrive', () => {
+describe('createConfigurationStore', () => {
+  it('keeps the highest version, in whatever order versions arrive', () => {
     fc.assert(
       fc.property(fc.array(fc.nat(20)), (versions) => {
         const store = createConfigurationStore()
--- a/packages/router/src/node/createRouter.ts
+++ b/packages/router/src/node/createRouter.ts
@@ -53,7 +53,7 @@
   let stopping = false
   const now = (): number => performance.now()
   const incarnation = randomBytes(INCARNATION_BYTES).toString('hex')
-  // Set below: parts that broadcast to peers are created before the peers.
+  // Assigned below: components that broadcast to peers are created before the peers.
   const peers: { current?: Peers } = {}
   const configurationStore = createConfigurationStore()
   const targetList = createTargetList(constants.REJOIN_WINDOW_MS)
@@ -77,7 +77,7 @@
     if (!configurationStore.applyIfNewer(configuration)) return
     peers.current?.broadcast()
     const { version, routes } = configuration
-    log.write(LogEvent.ConfigurationInForce, {
+    log.write(LogEvent.ConfigurationActivated, {
       version,
       routes: routes.length,
       from,
@@ -151,7 +151,7 @@
   })
   const callers = await createCallerServer({
     address: settings.listen.callers,
-    configurations: configurationStore,
+    configurationStore,
     protocol: ports.callerProtocol,
     dispatcher: createDispatcher({
       load,
@@ -208,7 +208,7 @@
     stopping = true
     const startedAtMs = now()
     log.write(LogEvent.Stopping, { inFlight: callers.inFlight })
-    callers.closeAfterResponses()
+    callers.disableKeepAlive()
     peers.current?.broadcast()
     const gracePeriodMs = settings.bounds.gracePeriodS * 1_000
     const endMs = startedAtMs + gracePeriodMs - constants.STOP_MARGIN_MS
--- a/packages/router/src/node/health/classifyFailure.ts
+++ b/packages/router/src/node/health/classifyFailure.ts
@@ -39,7 +39,7 @@
       }
     case TargetFailureCause.Broken:
     case TargetFailureCause.TimedOut:
-    case TargetFailureCause.ForeignAnswer:
+    case TargetFailureCause.ForeignResponse:
     case TargetFailureCause.Unsigned:
       return {
         countsAgainstHealth: true,
--- a/packages/router/src/node/peers/createPeerStateFetcher.ts
+++ b/packages/router/src/node/peers/createPeerStateFetcher.ts
@@ -65,12 +65,14 @@
       wantsPlacements: !hasFetched,
     })
     const sentAtMs = now()
-    const reply = await requestBytes({
+    const response = await requestBytes({
       url: `http://${host}:${port}${path}`,
       method: 'GET',
       timeoutMs: FETCH_TIMEOUT_MS,
     })
-    const state = reply.isOk() ? decodePeerState(reply.value.body) : undefined
+    const state = response.isOk()
+      ? decodePeerState(response.value.body)
+      : undefined
     if (!state) {
       const reason = `no valid state within ${FETCH_TIMEOUT_MS} ms`
       log.write(LogEvent.PeerFailed, { router, reason })
--- a/packages/router/src/node/peers/createPeerTable.ts
+++ b/packages/router/src/node/peers/createPeerTable.ts
@@ -12,7 +12,7 @@
   digest?: PeerDigest
 }
 
-/** The peers that this router knows of. */
+/** The known peers of this router. */
 export interface PeerTable {
   /** Records a peer's address from the router directory. */
   addListed(router: string, address: PeerAddress, nowMs: number): void
--- a/packages/router/src/node/peers/createPendingUpdates.ts
+++ b/packages/router/src/node/peers/createPendingUpdates.ts
@@ -6,14 +6,14 @@
   next(rounds: number): readonly CacheLocation[]
 }
 
-/** Creates pending updates; `take` returns the locations added since its last call. */
+/** Creates pending updates; `takeUpdates` returns the locations added since its last call. */
 export function createPendingUpdates(
-  take: () => CacheLocation[],
+  takeUpdates: () => CacheLocation[],
 ): PendingUpdates {
   let batches: CacheLocation[][] = []
   return {
     next(rounds) {
-      batches = [...batches, take()].slice(-Math.max(1, rounds))
+      batches = [...batches, takeUpdates()].slice(-Math.max(1, rounds))
       return batches.flat()
     },
   }
--- a/packages/router/src/node/peers/peerState.ts
+++ b/packages/router/src/node/peers/peerState.ts
@@ -5,7 +5,7 @@
 import type { CacheLocation } from '../routing/createCacheLocations.js'
 import type { Target } from '../targets/target.js'
 
-/** Largest decompressed state, in bytes; a router's whole memory is a few times as much. */
+/** Largest decompressed state, in bytes; the memory of a router is a few times as large. */
 const MAX_STATE_BYTES = 16 * 1024 * 1024
 
 const routeSchema = v.object({
@@ -73,7 +73,7 @@
   readonly wantsPlacements: boolean
 }
 
-/** State that a router serves to a peer, without the parts that the peer has already. */
+/** State that a router serves to a peer, without what the peer already has. */
 export interface PeerState {
   readonly configuration?: RouterConfiguration
   readonly targets?: readonly Target[]
--- a/packages/router/src/node/routing/__tests__/selectTarget.test.ts
+++ b/packages/router/src/node/routing/__tests__/selectTarget.test.ts
@@ -95,7 +95,7 @@
     assert.equal(next?.id, other?.id)
   })
 
-  it('stays with the target that caches a prompt when others join', () => {
+  it('selects the target that caches a prompt after others join', () => {
     const before = {
       targets: targets(4),
       load: loadOf(() => 2),
@@ -135,7 +135,7 @@
     assert.equal(selectTarget({ ...long, load })?.id, longFirst?.id)
   })
 
-  it('leaves a cache target that exceeds the load bound', () => {
+  it('does not select a cache target that exceeds the load bound', () => {
     const requests = (id: string) => (id === 't0' ? 40 : 1)
     const target = selectTarget({
       targets: targets(6),
--- a/packages/router/src/node/sources/createSourceLogger.ts
+++ b/packages/router/src/node/sources/createSourceLogger.ts
@@ -15,10 +15,10 @@
 ): SourceLogger {
   return {
     logUnavailable: (fault) => {
-      log.write(LogEvent.SourceLost, { source, fault })
+      log.write(LogEvent.SourceUnavailable, { source, fault })
     },
     logRecovered: (outageMs) => {
-      log.write(LogEvent.SourceRegained, {
+      log.write(LogEvent.SourceRecovered, {
         source,
         lostMs: Math.round(outageMs),
       })
--- a/packages/router/src/node/stopping/createReadinessServer.ts
+++ b/packages/router/src/node/stopping/createReadinessServer.ts
@@ -5,7 +5,7 @@
   type ListenAddress,
 } from '@auburnbay/http-utils/listen'
 
-/** Endpoint that tells the load balancer whether the router accepts new connections. */
+/** Endpoint that reports to the load balancer whether the router accepts new connections. */
 export interface ReadinessServer {
   close(): Promise<void>
 }
--- a/packages/router/src/node/targets/createTargetClient.ts
+++ b/packages/router/src/node/targets/createTargetClient.ts
@@ -71,7 +71,7 @@
   if (!head.isForRequest)
     return {
       verdict: Verdict.MayHaveRun,
-      cause: TargetFailureCause.ForeignAnswer,
+      cause: TargetFailureCause.ForeignResponse,
       message,
     }
   if (head.wrongTarget)
--- a/packages/router/src/node/targets/createTargetList.ts
+++ b/packages/router/src/node/targets/createTargetList.ts
@@ -9,7 +9,7 @@
   return hash32(lines.sort().join('\n'))
 }
 
-/** The targets that this router knows of. */
+/** The known targets of this router. */
 export interface TargetList {
   /** Returns the targets of a service that are not draining. */
   ready(service: string, nowMs: number): readonly Target[]
--- a/packages/router/src/node/targets/followTargets.ts
+++ b/packages/router/src/node/targets/followTargets.ts
@@ -69,7 +69,7 @@
   function remove(id: string): void {
     if (!targetList.find(id)) return
     removed.set(id, true)
-    log.write(LogEvent.TargetGone, { target: id })
+    log.write(LogEvent.TargetRemoved, { target: id })
     targetList.remove(id, now())
     options.onChange()
   }
@@ -84,14 +84,14 @@
     for (const { id } of [...targetList.all()]) if (!values.has(id)) remove(id)
   }
 
-  /** Whether a peer's entry is older than what this router knows. */
+  /** Whether a peer's entry is older than this router's. */
   function isOutdated({ id, draining }: Target): boolean {
     if (removed.has(id)) return true
     return targetList.find(id)?.draining === true && !draining
   }
 
   function applyPeerList(targets: readonly Target[], ageMs: number): void {
-    // Either the peer's list is outdated or the target returned: only the source can tell.
+    // Either the peer's list is outdated or the target returned; only a poll of the source shows which.
     if (targets.some(isOutdated)) {
       mustPoll = true
       return
--- a/packages/router/src/node/targets/targetFailure.ts
+++ b/packages/router/src/node/targets/targetFailure.ts
@@ -15,7 +15,7 @@
   /** Another target has the address now. */
   WrongTarget = 'wrong-target',
   /** The response belongs to another request. */
-  ForeignAnswer = 'foreign-answer',
+  ForeignResponse = 'foreign-answer',
   /** The response lacks the target's signature. */
   Unsigned = 'unsigned',
 }
