--- a/packages/core/src/node/limits/__tests__/createRetryBudget.test.ts
+++ b/packages/core/src/node/limits/__tests__/createRetryBudget.test.ts
@@ -20,7 +20,7 @@
           if (isFirstAttempt) {
             firstAttempts += 1
             budget.recordFirstAttempt()
-          } else if (budget.consumeRetry()) retries += 1
+          } else if (budget.tryAcquire()) retries += 1
           const bound = Math.max(reserve, RATIO * firstAttempts)
           assert.ok(retries <= bound + 1e-6)
         }
@@ -32,7 +32,7 @@
   it('accumulates no more than the burst', () => {
     const budget = createRetryBudget({ ratio: RATIO, burst: 3, reserve: 0 })
     for (let index = 0; index < 1_000; index += 1) budget.recordFirstAttempt()
-    const granted = Array.from({ length: 10 }, () => budget.consumeRetry())
+    const granted = Array.from({ length: 10 }, () => budget.tryAcquire())
     assert.equal(granted.filter(Boolean).length, 3)
   })
 })
--- a/packages/core/src/node/limits/__tests__/fleetAllowance.test.ts
+++ b/packages/core/src/node/limits/__tests__/fleetAllowance.test.ts
@@ -124,19 +124,19 @@
     const property = fc.property(
       fc.nat(60),
       fc.array(fc.integer({ min: 1, max: 50 }), { minLength: 1, maxLength: 9 }),
-      (limit, asked) => {
-        const total = asked.reduce((sum, count) => sum + count, 0)
-        for (const [index, own] of asked.entries()) {
+      (limit, received) => {
+        const total = received.reduce((sum, count) => sum + count, 0)
+        for (const [index, own] of received.entries()) {
           const allowance = fleetAllowance({
             limit,
             key: 'customer',
             router: `router-${index}`,
-            asked: own,
-            peers: asked
+            received: own,
+            peers: received
               .map((count, peer) => ({
                 router: `router-${peer}`,
                 used: 0,
-                asked: count,
+                received: count,
                 ageMs: 0,
               }))
               .filter((_peer, peer) => peer !== index),
--- a/packages/core/src/node/limits/createRetryBudget.ts
+++ b/packages/core/src/node/limits/createRetryBudget.ts
@@ -12,7 +12,7 @@
 export interface RetryBudget {
   recordFirstAttempt(): void
   /** Consumes one retry; returns false if the budget is exhausted. */
-  consumeRetry(): boolean
+  tryAcquire(): boolean
 }
 
 /**
@@ -28,7 +28,7 @@
     recordFirstAttempt() {
       tokens = Math.min(burst, tokens + ratio)
     },
-    consumeRetry() {
+    tryAcquire() {
       if (tokens >= 1) {
         tokens -= 1
         // An earned retry reduces the reserve as well.
--- a/packages/core/src/node/limits/fleetAllowance.ts
+++ b/packages/core/src/node/limits/fleetAllowance.ts
@@ -6,7 +6,7 @@
   /** Use in the peer's last digest; 0 if none was received. */
   readonly used: number
   /** Requests that arrived at the peer, rejected ones included. @default 0 */
-  readonly asked?: number
+  readonly received?: number
   /** Age of that digest in milliseconds; infinite if none was received. */
   readonly ageMs: number
 }
@@ -21,7 +21,7 @@
    * Requests that arrived at this router, rejected ones included. If given, the
    * limit is divided in proportion to the requests at each router.
    */
-  readonly asked?: number
+  readonly received?: number
   /** Other routers in the VM list, and those with a recent digest. */
   readonly peers: readonly PeerUsage[]
   /** Age in milliseconds above which a digest is stale. */
@@ -34,21 +34,21 @@
  * Returns how much of a limit this router may use. A peer with a fresh digest
  * counts with its use. A peer with a stale digest counts with its share, or with
  * its last reported use if that is larger and may still be in progress. Without
- * any fresh digest the allowance is at most the router's own share, so the sum over the
- * routers never exceeds the limit.
+ * any fresh digest the allowance is at most the router's own share, so the sum
+ * over the routers never exceeds the limit.
  */
 export function fleetAllowance(state: FleetLimit): number {
   const { limit, key, router, peers, staleMs, holdMs } = state
   const routers = [router, ...peers.map((peer) => peer.router)]
   let shares: ((router: string) => number) | undefined
   let usedByOthers = 0
-  let askedAtOthers = 0
+  let receivedByOthers = 0
   // Part of the limit that the routers with fresh digests divide.
   let divisible = limit
   for (const peer of peers) {
     if (peer.ageMs <= staleMs) {
       usedByOthers += peer.used
-      askedAtOthers += peer.asked ?? 0
+      receivedByOthers += peer.received ?? 0
       continue
     }
     shares ??= createFleetShares(limit, key, routers)
@@ -56,7 +56,8 @@
     divisible -= Math.max(shares(peer.router), inProgress)
   }
   const left = Math.max(0, divisible - usedByOthers)
-  if (!state.asked) return left
-  const proportion = (divisible * state.asked) / (state.asked + askedAtOthers)
+  if (!state.received) return left
+  const proportion =
+    (divisible * state.received) / (state.received + receivedByOthers)
   return Math.min(left, Math.max(0, Math.ceil(proportion)))
 }
--- a/packages/daemon/src/node/claims/__tests__/restart.test.ts
+++ b/packages/daemon/src/node/claims/__tests__/restart.test.ts
@@ -24,7 +24,7 @@
         settings: SETTINGS,
         log: createLogClient(log.url),
         logger: logs.forComponent('claims'),
-        now: Date.now,
+        epochNow: Date.now,
       })
     const key = `${Date.now()}.sign-off`
     const request = createKeyedRequest()
@@ -51,7 +51,7 @@
         settings: { ...SETTINGS, logRetentionMs },
         log: createLogClient(log.url),
         logger: logs.forComponent('claims'),
-        now: Date.now,
+        epochNow: Date.now,
       })
     const oldKey = `${Date.now() - 7_200_000}.sign-off`
     const newKey = `${Date.now()}.sign-off`
@@ -80,7 +80,7 @@
       settings: SETTINGS,
       log: createLogClient(log.url),
       logger: logs.forComponent('claims'),
-      now: Date.now,
+      epochNow: Date.now,
     })
     const key = `${Date.now()}.sign-off`
     assert.ok((await claims.claim(createKeyedRequest(), key)).isOk())
--- a/packages/daemon/src/node/claims/createClaimTailer.ts
+++ b/packages/daemon/src/node/claims/createClaimTailer.ts
@@ -15,14 +15,14 @@
   readonly logger: ConsolaInstance
   readonly onDecision: (decision: ClaimDecision) => void
   /** Milliseconds since the epoch. */
-  readonly now: () => number
+  readonly epochNow: () => number
   /** Minimum time for which the log keeps a record, in milliseconds. */
   readonly logRetentionMs: number
 }
 
 /** Starts applying the records of the claims stream to the table. */
 export function createClaimTailer(options: ClaimTailerOptions): Loop {
-  const { log, table, logger, onDecision, now, logRetentionMs } = options
+  const { log, table, logger, onDecision, epochNow, logRetentionMs } = options
   let nextOffset = 0
   let logId: string | undefined
 
@@ -33,12 +33,12 @@
     logId = page.logId
     if (replaced || truncated) {
       logger.error('The claims stream was replaced; older keys are refused.')
-      table.reset(now())
+      table.reset(epochNow())
       nextOffset = 0
     }
     if (page.firstOffset > nextOffset) {
       const oldestKeptMs = page.records[0]?.atMs ?? Infinity
-      table.reset(Math.min(oldestKeptMs, now() - logRetentionMs))
+      table.reset(Math.min(oldestKeptMs, epochNow() - logRetentionMs))
       nextOffset = page.firstOffset
     }
   }
--- a/packages/daemon/src/node/claims/createClaims.ts
+++ b/packages/daemon/src/node/claims/createClaims.ts
@@ -35,7 +35,7 @@
   readonly log: LogClient
   readonly logger: ConsolaInstance
   /** Milliseconds since the epoch. */
-  readonly now: () => number
+  readonly epochNow: () => number
 }
 
 /** A claim made by this router. */
@@ -49,7 +49,7 @@
 
 /** Starts reading the claims stream and claiming keys through it. */
 export function createClaims(options: ClaimsOptions): Claims {
-  const { settings, log, logger, now } = options
+  const { settings, log, logger, epochNow } = options
   const table = createClaimTable(settings.maxClaims)
   const pendingClaims = new Map<string, (result: ClaimResult) => void>()
   const abandonedClaims = new Set<string>()
@@ -77,7 +77,7 @@
     table,
     logger,
     onDecision,
-    now,
+    epochNow,
     logRetentionMs: settings.logRetentionMs,
   })
 
--- a/packages/daemon/src/node/configuration/createConfigurationStore.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationStore.ts
@@ -13,7 +13,7 @@
   ConfigurationTransferRequest,
   ConfigurationTransfer,
 } from './configurationTransfer.js'
-import { createRecordHistory } from './recordHistory.js'
+import { createRecordHistory } from './createRecordHistory.js'
 
 /** Holds the current configuration; its version never decreases. */
 export interface ConfigurationStore {
--- a/packages/daemon/src/node/configuration/createConfigurationTailer.ts
+++ b/packages/daemon/src/node/configuration/createConfigurationTailer.ts
@@ -51,7 +51,7 @@
     request: ConfigurationTransferRequest,
   ) => Promise<ConfigurationTransfer>
   /** Current time, in milliseconds since the epoch. */
-  readonly nowMs: () => number
+  readonly epochNow: () => number
 }
 
 /** Starts following the configuration, from the log or from peers. */
@@ -82,7 +82,7 @@
     router: router.id,
     liveRouters: () => peers().map(({ id }) => id),
     retentionMs: options.retentionMs,
-    nowMs: options.nowMs,
+    epochNow: options.epochNow,
     followsLog,
   })
   return {
--- a/packages/daemon/src/node/configuration/createSnapshotWriter.ts
+++ b/packages/daemon/src/node/configuration/createSnapshotWriter.ts
@@ -26,7 +26,7 @@
   /** Retention time of the log, in milliseconds. */
   readonly retentionMs: number
   /** Current time, in milliseconds since the epoch. */
-  readonly nowMs: () => number
+  readonly epochNow: () => number
   /** Whether this router follows the log itself. */
   readonly followsLog: () => boolean
 }
@@ -53,7 +53,7 @@
       router: options.router,
       liveRouters: options.liveRouters(),
       retentionMs: options.retentionMs,
-      nowMs: options.nowMs(),
+      nowMs: options.epochNow(),
     }
     const step = scheduleSnapshot(schedule, scheduleOptions)
     schedule = step.schedule
--- a/packages/daemon/src/node/createDaemon.ts
+++ b/packages/daemon/src/node/createDaemon.ts
@@ -62,7 +62,7 @@
     retentionMs: settings.logService.retentionMs,
     peers: () => configurationPeers(membership.livePeers()),
     fetch: (address, req) => peerClient.configurationSince(address, req),
-    nowMs: Date.now,
+    epochNow: Date.now,
   })
   const configuration = () => tailer.state.configuration
   const vmList = createVmListPoller({
@@ -173,7 +173,7 @@
     settings: settings.claims,
     log,
     logger: logs.forComponent('claims'),
-    now: Date.now,
+    epochNow: Date.now,
   })
   const dispatcher = createDispatcher({
     admission,
--- a/packages/daemon/src/node/limits/createCustomerLimits.ts
+++ b/packages/daemon/src/node/limits/createCustomerLimits.ts
@@ -3,6 +3,7 @@
   createRateWindow,
   FailureCode,
   fleetAllowance,
+  type FleetLimit,
   toRateLimit,
   type RateWindow,
 } from '@auburnbay/core'
@@ -36,7 +37,7 @@
   /** Admitted requests. */
   readonly started: RateWindow
   /** Received requests, rejected ones included. */
-  readonly asked: RateWindow
+  readonly received: RateWindow
 }
 
 const MS_PER_S = 1_000
@@ -68,7 +69,7 @@
     const rate = {
       ratePerS,
       started: createRateWindow(windowMs),
-      asked: createRateWindow(windowMs),
+      received: createRateWindow(windowMs),
     }
     rates.set(customer, rate)
     return rate
@@ -78,7 +79,7 @@
     const peers = usage.peers((digest) => digest.customers[customer] ?? 0)
     const key = `${LimitKind.InFlight}/${customer}`
     const { holdMs } = options
-    const state = { limit, key, router, peers, staleMs, holdMs }
+    const state: FleetLimit = { limit, key, router, peers, staleMs, holdMs }
     return (inFlight.get(customer) ?? 0) >= fleetAllowance(state)
   }
 
@@ -89,8 +90,16 @@
       (digest) => digest.asked?.[customer] ?? 0,
     )
     const key = `${LimitKind.Rate}/${customer}`
-    const asked = rate.asked.count(now())
-    const state = { limit, key, router, asked, peers, staleMs, holdMs }
+    const received = rate.received.count(now())
+    const state: FleetLimit = {
+      limit,
+      key,
+      router,
+      received,
+      peers,
+      staleMs,
+      holdMs,
+    }
     return rate.started.count(now()) >= fleetAllowance(state)
   }
 
@@ -108,7 +117,7 @@
         return rejectRequest(customer, LimitKind.InFlight, RETRY_AFTER_S)
       if (ratePerS !== undefined) {
         const rate = rateOf(customer, ratePerS)
-        rate.asked.add(now())
+        rate.received.add(now())
         if (exceedsRate(customer, rate)) {
           const freeS = Math.ceil(rate.started.nextFreeMs(now()) / MS_PER_S)
           return rejectRequest(customer, LimitKind.Rate, Math.max(1, freeS))
@@ -127,7 +136,7 @@
       const started: Record<string, number> = {}
       const asked: Record<string, number> = {}
       for (const [customer, rate] of rates) {
-        const total = rate.asked.count(now())
+        const total = rate.received.count(now())
         if (total === 0) continue
         asked[customer] = total
         started[customer] = rate.started.count(now())
--- a/packages/daemon/src/node/limits/createFleetUsage.ts
+++ b/packages/daemon/src/node/limits/createFleetUsage.ts
@@ -9,9 +9,9 @@
 export interface FleetUsage {
   /**
    * Returns one entry per peer, unresponsive peers included.
-   * @param asked Requests received, rejected ones included. @default 0
+   * @param received Requests received, rejected ones included. @default 0
    */
-  peers(used: UsageReader, asked?: UsageReader): PeerUsage[]
+  peers(used: UsageReader, received?: UsageReader): PeerUsage[]
 }
 
 /** Options for {@link createFleetUsage}. */
@@ -32,11 +32,11 @@
 /** Creates a usage table that keeps the last digest of unresponsive peers. */
 export function createFleetUsage(options: FleetUsageOptions): FleetUsage {
   const { router, holdMs, membership, vms, now } = options
-  const received = new Map<string, ReceivedDigest>()
+  const digests = new Map<string, ReceivedDigest>()
 
   function recordDigests(): void {
     for (const { id, heartbeat, ageMs } of membership().livePeers())
-      received.set(id, {
+      digests.set(id, {
         digest: heartbeat.digest,
         receivedAtMs: now() - ageMs,
       })
@@ -52,26 +52,26 @@
   function usageOf(
     id: string,
     used: UsageReader,
-    asked: UsageReader,
+    received: UsageReader,
   ): PeerUsage {
-    const last = received.get(id)
+    const last = digests.get(id)
     if (!last) return { router: id, used: 0, ageMs: Infinity }
     const { digest, receivedAtMs } = last
     const ageMs = now() - receivedAtMs
-    return { router: id, used: used(digest), asked: asked(digest), ageMs }
+    return { router: id, used: used(digest), received: received(digest), ageMs }
   }
 
   return {
-    peers(used, asked = () => 0) {
+    peers(used, received = () => 0) {
       recordDigests()
       const routers = listedRouters()
-      const peers = [...routers].map((id) => usageOf(id, used, asked))
-      for (const [id, { receivedAtMs }] of received) {
-        if (now() - receivedAtMs > holdMs) received.delete(id)
+      const peers = [...routers].map((id) => usageOf(id, used, received))
+      for (const [id, { receivedAtMs }] of digests) {
+        if (now() - receivedAtMs > holdMs) digests.delete(id)
         else if (!routers.has(id)) {
           // A router that left the VM list counts only if it may still run
           // requests.
-          const peer = usageOf(id, used, asked)
+          const peer = usageOf(id, used, received)
           if (peer.used > 0) peers.push(peer)
         }
       }
--- a/packages/daemon/src/node/limits/createRetries.ts
+++ b/packages/daemon/src/node/limits/createRetries.ts
@@ -49,7 +49,7 @@
       const abandoned = request.signal.aborted || epochNow() >= deadlineAtMs
       const { verdict } = failure
       if (!mayRetry({ verdict, idempotent, abandoned })) return false
-      const acquired = budgetOf(service).consumeRetry()
+      const acquired = budgetOf(service).tryAcquire()
       metrics.count(acquired ? 'retries' : 'retries.refused', 1, { service })
       return acquired
     },
--- a/packages/daemon/src/node/orders/createLeaseHolder.ts
+++ b/packages/daemon/src/node/orders/createLeaseHolder.ts
@@ -27,7 +27,7 @@
   /** Milliseconds of the monotonic clock. */
   readonly now: () => number
   /** Milliseconds since the epoch. */
-  readonly nowEpochMs: () => number
+  readonly epochNow: () => number
 }
 
 /** Creates the holder of the lease `name`. */
@@ -73,7 +73,7 @@
     return (
       lease !== undefined &&
       lease.holder !== holder &&
-      lease.expiresAtMs > options.nowEpochMs()
+      lease.expiresAtMs > options.epochNow()
     )
   }
 
--- a/packages/daemon/src/node/orders/createOrders.ts
+++ b/packages/daemon/src/node/orders/createOrders.ts
@@ -29,7 +29,7 @@
     holder: `${router}/${incarnation}`,
     ttlMs: settings.orders.leaseMs,
     now: options.now,
-    nowEpochMs: Date.now,
+    epochNow: Date.now,
   })
   return createOrderTask({
     ...rest,
--- a/packages/measure/src/node/limits/runFleetLimit.ts
+++ b/packages/measure/src/node/limits/runFleetLimit.ts
@@ -1,4 +1,8 @@
-import { fleetAllowance, type FleetLimit } from '@auburnbay/core'
+import {
+  fleetAllowance,
+  type FleetLimit,
+  type PeerUsage,
+} from '@auburnbay/core'
 import { createEventQueue } from '../routing/bench/createEventQueue.js'
 import { createRandom } from '../routing/bench/createRandom.js'
 import type { UsageMeter, MeasuredLimit } from './measuredLimit.js'
@@ -37,7 +41,7 @@
 
 interface ReceivedUsage {
   readonly used: number
-  readonly asked: number
+  readonly demand: number
   readonly atMs: number
 }
 
@@ -59,19 +63,19 @@
   let beyondInterval = 0
 
   function mayAdmit(router: number, nowMs: number): boolean {
-    const peers = []
+    const peers: PeerUsage[] = []
     for (let peer = 0; peer < routers; peer += 1) {
       if (peer === router) continue
       const last = received[router]?.get(peer)
       const ageMs = last ? nowMs - last.atMs : Infinity
-      const { used = 0, asked = 0 } = last ?? {}
-      peers.push({ router: `router-${peer}`, used, asked, ageMs })
+      const { used = 0, demand = 0 } = last ?? {}
+      peers.push({ router: `router-${peer}`, used, received: demand, ageMs })
     }
     const allowedUse = allowance({
       limit: limit.limit,
       key: limit.name,
       router: `router-${router}`,
-      asked: demandMeters[router]?.used(nowMs),
+      received: demandMeters[router]?.used(nowMs),
       peers,
       staleMs: STALE_MS,
       holdMs: limit.holdMs,
@@ -109,8 +113,8 @@
 
   function createDigest(router: number, nowMs: number): ReceivedUsage {
     const used = meters[router]?.used(nowMs) ?? 0
-    const asked = demandMeters[router]?.used(nowMs) ?? 0
-    return { used, asked, atMs: nowMs }
+    const demand = demandMeters[router]?.used(nowMs) ?? 0
+    return { used, demand, atMs: nowMs }
   }
 
   /** Exchanges digests with each connected peer; a heartbeat carries them both ways. */
--- a/packages/measure/src/node/limits/runRetries.ts
+++ b/packages/measure/src/node/limits/runRetries.ts
@@ -115,7 +115,7 @@
       if (attempt === MAX_ATTEMPTS) return
       if (options.budgeted) {
         if (!mayRetry({ verdict, idempotent, abandoned: false })) return
-        if (!budget.consumeRetry()) return
+        if (!budget.tryAcquire()) return
       }
       counts.retries += 1
     }
--- a/packages/measure/src/node/once/createRouter.ts
+++ b/packages/measure/src/node/once/createRouter.ts
@@ -96,7 +96,7 @@
     settings: settings.claims,
     log: createLogClient(settings.logService.url),
     logger: logs.forComponent('claims'),
-    now: Date.now,
+    epochNow: Date.now,
   })
 
   const routing = {
--- a/packages/measure/src/node/once/measureClaimAppends.ts
+++ b/packages/measure/src/node/once/measureClaimAppends.ts
@@ -39,7 +39,7 @@
     settings: settings.claims,
     log: createLogClient(log.url),
     logger: logs.forComponent('claims'),
-    now: Date.now,
+    epochNow: Date.now,
   })
   const startedMs = performance.now()
   const settled: Promise<boolean>[] = []
--- a/packages/router/src/node/callers/createDispatcher.ts
+++ b/packages/router/src/node/callers/createDispatcher.ts
@@ -86,7 +86,7 @@
   ): NextStep {
     const handling = classifyFailure(failure.cause)
     if (handling.countsAgainstHealth)
-      health.record(target, TargetOutcome.Failure, now())
+      health.recordOutcome(target, TargetOutcome.Failure, now())
     if (handling.avoidMs > 0) health.avoid(target.id, handling.avoidMs, now())
     if (handling.retiresConnections) client.retireConnections(target)
     progress.verdict = combineVerdicts(progress.verdict, failure.verdict)
@@ -128,7 +128,7 @@
     progress.verdict = Verdict.Ran
     const isError = status >= MIN_SERVER_ERROR_STATUS
     const outcome = isError ? TargetOutcome.Failure : TargetOutcome.Success
-    health.record(target, outcome, now())
+    health.recordOutcome(target, outcome, now())
     if (
       shouldRetryServerError(call, progress, response) &&
       options.retryBudgetFor(call.service).tryAcquire(now())
@@ -144,7 +144,7 @@
       : RelayOutcome.Broken
     if (relayOutcome !== RelayOutcome.Broken) return NextStep.Done
     response.res.destroy()
-    health.record(target, TargetOutcome.Failure, now())
+    health.recordOutcome(target, TargetOutcome.Failure, now())
     progress.lastCause = TargetFailureCause.Broken
     log.write(LogEvent.RequestSent, {
       request: call.request.attemptId,
@@ -213,7 +213,7 @@
     const relay = createResponseRelay(call, res, options.protocol)
     const progress = createCallProgress(relay)
     const retryBudget = options.retryBudgetFor(call.service)
-    retryBudget.recordRequest(now())
+    retryBudget.recordFirstAttempt(now())
 
     function tryChargeRetry(): boolean {
       if (!retryBudget.tryAcquire(now())) return false
--- a/packages/router/src/node/health/createTargetHealth.ts
+++ b/packages/router/src/node/health/createTargetHealth.ts
@@ -15,7 +15,7 @@
     targets: readonly Target[],
     nowMs: number,
   ): readonly Target[]
-  record(target: Target, outcome: TargetOutcome, nowMs: number): void
+  recordOutcome(target: Target, outcome: TargetOutcome, nowMs: number): void
   /** Excludes a target for `forMs` milliseconds, unless no other is left. */
   avoid(targetId: string, forMs: number, nowMs: number): void
 }
@@ -58,7 +58,7 @@
       )
       return available.length > 0 ? available : targets
     },
-    record(target, outcome, nowMs) {
+    recordOutcome(target, outcome, nowMs) {
       const health = services.get(target.service)
       if (!health) return
       const isProbe = health.recordStart(target.id, nowMs)
--- a/packages/router/src/node/limits/__tests__/createRetryBudget.test.ts
+++ b/packages/router/src/node/limits/__tests__/createRetryBudget.test.ts
@@ -38,7 +38,7 @@
             nowMs += afterMs
             if (isRequest) {
               requests.push(nowMs)
-              routers[router]?.recordRequest(nowMs)
+              routers[router]?.recordFirstAttempt(nowMs)
             } else if (routers[router]?.tryAcquire(nowMs)) {
               retries.push(nowMs)
               const earned = Math.max(
--- a/packages/router/src/node/limits/createRetryBudget.ts
+++ b/packages/router/src/node/limits/createRetryBudget.ts
@@ -17,7 +17,7 @@
 
 /** Keeps the retries to one service within the fleet's bound. */
 export interface RetryBudget {
-  recordRequest(nowMs: number): void
+  recordFirstAttempt(nowMs: number): void
   /** Consumes one retry; returns false if this router's share is used up. */
   tryAcquire(nowMs: number): boolean
 }
@@ -52,7 +52,7 @@
   const secondOf = (nowMs: number) => Math.floor(nowMs / MS_PER_S)
 
   return {
-    recordRequest(nowMs) {
+    recordFirstAttempt(nowMs) {
       requests.add(secondOf(nowMs))
     },
     tryAcquire(nowMs) {
