--- a/packages/core/src/node/affinity/__tests__/createHintIndex.test.ts
+++ b/packages/core/src/node/affinity/__tests__/createCacheLocationIndex.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
 import { type CacheEvent, CacheEventKind } from '../cacheEvent.js'
-import { createHintIndex } from '../createHintIndex.js'
+import { createCacheLocationIndex } from '../createCacheLocationIndex.js'
 
 const stepArbitrary = fc.record({
   target: fc.constantFrom('t1', 't2', 't3'),
@@ -13,25 +13,25 @@
 
 /** Reference index: replays received events and clears a target at each gap. */
 function createNaiveIndex() {
-  const targetOf = new Map<string, string>()
+  const cachedOn = new Map<string, string>()
   const next = new Map<string, number>()
   return {
-    targetOf,
+    cachedOn,
     apply(target: string, { sequence, kind, chat }: CacheEvent): void {
       if (sequence > (next.get(target) ?? 0))
-        for (const [held, id] of [...targetOf])
-          if (id === target) targetOf.delete(held)
+        for (const [held, id] of [...cachedOn])
+          if (id === target) cachedOn.delete(held)
       next.set(target, sequence + 1)
-      if (kind === CacheEventKind.Stored) targetOf.set(chat, target)
-      else if (targetOf.get(chat) === target) targetOf.delete(chat)
+      if (kind === CacheEventKind.Stored) cachedOn.set(chat, target)
+      else if (cachedOn.get(chat) === target) cachedOn.delete(chat)
     },
   }
 }
 
-describe('createHintIndex', () => {
+describe('createCacheLocationIndex', () => {
   it('behaves like a naive replay of events with gaps', () => {
     const property = fc.property(fc.array(stepArbitrary), (steps) => {
-      const index = createHintIndex(100)
+      const index = createCacheLocationIndex(100)
       const naive = createNaiveIndex()
       const sequences = new Map<string, number>()
       for (const { target, kind, chat, lost } of steps) {
@@ -42,7 +42,7 @@
         naive.apply(target, { sequence, kind, chat })
       }
       for (const chat of ['a', 'b', 'c', 'd'])
-        assert.equal(index.targetOf(chat), naive.targetOf.get(chat))
+        assert.equal(index.cachedOn(chat), naive.cachedOn.get(chat))
     })
     fc.assert(property, { seed: 13, numRuns: 500 })
   })
--- a/packages/core/src/node/affinity/createHintIndex.ts
+++ b/packages/core/src/node/affinity/createCacheLocationIndex.ts
@@ -3,13 +3,13 @@
 import { type CacheEvent, CacheEventKind } from './cacheEvent.js'
 
 /** Index of the target that caches each chat, built from cache events. */
-export interface HintIndex {
+export interface CacheLocationIndex {
   /** Returns the next expected sequence number of a target. */
   nextSequence(targetId: string): number
   /** Applies events in order; a gap invalidates all entries of the target. */
   apply(targetId: string, events: readonly CacheEvent[]): void
   /** Returns the target that caches the chat according to the events. */
-  targetOf(chat: string): string | undefined
+  cachedOn(chat: string): string | undefined
   /** Number of indexed chats, invalidated ones included. */
   readonly size: number
 }
@@ -20,14 +20,14 @@
   generation: number
 }
 
-interface HintEntry {
+interface LocationEntry {
   readonly targetId: string
   readonly generation: number
 }
 
 /** Creates an index of at most `maxChats` chats. */
-export function createHintIndex(maxChats: number): HintIndex {
-  const entries = new LRUCache<number, HintEntry>({ max: maxChats })
+export function createCacheLocationIndex(maxChats: number): CacheLocationIndex {
+  const entries = new LRUCache<number, LocationEntry>({ max: maxChats })
   const progressByTarget = new Map<string, TargetProgress>()
 
   function progressOf(targetId: string): TargetProgress {
@@ -58,7 +58,7 @@
       const progress = progressOf(targetId)
       for (const event of events) applyOne(targetId, progress, event)
     },
-    targetOf(chat) {
+    cachedOn(chat) {
       const entry = entries.get(hash32(chat))
       if (!entry) return undefined
       return progressOf(entry.targetId).generation === entry.generation
--- a/packages/daemon/src/node/peers/createPeerClient.ts
+++ b/packages/daemon/src/node/peers/createPeerClient.ts
@@ -28,7 +28,7 @@
   /** Fetches records or a snapshot; rejects when the peer has none. */
   configurationSince(
     address: string,
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ): Promise<ConfigurationTransfer>
   /** Requests slots from a group's coordinator; rejects on a timeout or failure. */
   grant(address: string, request: GrantRequest): Promise<GrantResponse>
@@ -71,10 +71,10 @@
     traffic,
     heartbeat: (address, heartbeat) =>
       getClient(address).heartbeat.mutate(heartbeat, createCallOptions()),
-    configurationSince: async (address, since) => {
+    configurationSince: async (address, request) => {
       const signal = AbortSignal.timeout(PEER_FETCH_TIMEOUT_MS)
       const response = await getClient(address).configurationSince.mutate(
-        since,
+        request,
         { signal },
       )
       return configurationTransferSchema.parse(response)
--- a/packages/daemon/src/node/peers/peerApi.ts
+++ b/packages/daemon/src/node/peers/peerApi.ts
@@ -25,7 +25,7 @@
   handleHeartbeat(heartbeat: Heartbeat): Heartbeat
   /** Returns records or a snapshot that a peer lacks; undefined without a log. */
   handleTransferRequest(
-    since: ConfigurationTransferRequest,
+    request: ConfigurationTransferRequest,
   ): ConfigurationTransfer | undefined
   /** Handles a request for slots as the coordinator of its group. */
   handleGrantRequest(request: GrantRequest): GrantResponse
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -44,7 +44,7 @@
   readonly membership: () => Pick<Membership, 'livePeers'>
   readonly client: Pick<PeerClient, 'grant' | 'collect'>
   readonly loadPoller: () => Pick<LoadPoller, 'lastReport'>
-  readonly cacheEvents: () => Pick<CacheEventReader, 'targetOf'>
+  readonly cacheEvents: () => Pick<CacheEventReader, 'cachedOn'>
   /** Whether the health of a target allows a request to be sent there. */
   readonly eligible: (targetId: string, idempotent: boolean) => boolean
   readonly metrics: Metrics
@@ -110,7 +110,7 @@
       serviceMean: () => serviceMean(service),
       eligible,
       reportedLoad: (id) => options.loadPoller().lastReport(id)?.inFlight,
-      cachedOn: (key) => options.cacheEvents().targetOf(key),
+      cachedOn: (key) => options.cacheEvents().cachedOn(key),
       onSelected: ({ source, waitedMs }) => {
         metrics.count('placements', 1, { service, source })
         metrics.timing('decision_wait', waitedMs, { service })
@@ -210,7 +210,7 @@
     view,
     eligible,
     maxLoadFactor,
-    cachedOn: (key) => options.cacheEvents().targetOf(key),
+    cachedOn: (key) => options.cacheEvents().cachedOn(key),
   })
 
   const updateLoop = createLoop(
--- a/packages/daemon/src/node/targets/createCacheEventReader.ts
+++ b/packages/daemon/src/node/targets/createCacheEventReader.ts
@@ -2,7 +2,7 @@
 import {
   type CacheEvent,
   cacheEventSchema,
-  createHintIndex,
+  createCacheLocationIndex,
 } from '@auburnbay/core'
 import { requestJson } from '@auburnbay/http-utils'
 import { z } from 'zod'
@@ -13,7 +13,7 @@
 /** Tracks which target has a chat cached, from the engines' cache events. */
 export interface CacheEventReader {
   /** Returns the target that has the chat with this key cached, if known. */
-  targetOf(key: string): string | undefined
+  cachedOn(key: string): string | undefined
   stop(): Promise<void>
 }
 
@@ -40,7 +40,7 @@
 ): CacheEventReader {
   const { targets, intervalMs, maxChats, keyOf } = options
   const { agent = new Agent({ keepAlive: true }) } = options
-  const index = createHintIndex(maxChats)
+  const index = createCacheLocationIndex(maxChats)
 
   function withChatKey(event: CacheEvent): CacheEvent {
     return { ...event, chat: keyOf(event.chat) }
@@ -61,7 +61,7 @@
 
   const poller = createTargetPoller({ targets, intervalMs, poll })
   return {
-    targetOf: (key) => index.targetOf(key),
+    cachedOn: (key) => index.cachedOn(key),
     stop: async () => {
       await poller.stop()
       agent.destroy()
--- a/packages/http-utils/src/node/exchange.ts
+++ b/packages/http-utils/src/node/exchange.ts
@@ -60,9 +60,9 @@
 
 /** Sends a request and resolves once the response headers arrive. */
 export function exchange(
-  call: ExchangeOptions,
+  options: ExchangeOptions,
 ): Promise<Result<IncomingMessage, ExchangeFailure>> {
-  const { url, path, method, headers, body, signal, agent, limits } = call
+  const { url, path, method, headers, body, signal, agent, limits } = options
   return new Promise((resolve) => {
     let progress = AttemptProgress.NothingWritten
     let timer: NodeJS.Timeout | undefined
@@ -111,7 +111,7 @@
       `not connected within ${limits.connectTimeoutMs} ms`,
     )
     req.once('socket', (socket) => {
-      call.onSocket?.(socket)
+      options.onSocket?.(socket)
       if (socket.connecting) socket.once('connect', write)
       else write()
     })
--- a/packages/measure/src/node/limits/measureFleetLimits.ts
+++ b/packages/measure/src/node/limits/measureFleetLimits.ts
@@ -42,7 +42,7 @@
   return fleetAllowance({ ...state, peers })
 }
 
-/** Baseline: each router always keeps to its fixed share. */
+/** Baseline: each router uses at most its fixed share. */
 function fixedShares(state: FleetLimit): number {
   const peers = state.peers.map((peer) => ({
     ...peer,
--- a/packages/measure/src/node/routing/bench/simulateRouting.ts
+++ b/packages/measure/src/node/routing/bench/simulateRouting.ts
@@ -30,7 +30,7 @@
   readonly lengthMs: number
   readonly absences?: readonly TargetAbsence[]
   readonly failures?: readonly RouterFailure[]
-  /** Milliseconds by which a router's VM list is late. @default 0 */
+  /** Milliseconds by which a router's VM list is delayed. @default 0 */
   readonly listLagMs?: (router: number) => number
 }
 
--- a/packages/measure/src/node/routing/bench/strategies/baselineStrategies.ts
+++ b/packages/measure/src/node/routing/bench/strategies/baselineStrategies.ts
@@ -11,7 +11,7 @@
 const TOP_K = 4
 const REPORT_LAG_MS = 2_000
 
-/** Loads known to each router: late reports plus its own requests since then. */
+/** Loads known to each router: delayed reports plus its own requests since then. */
 interface RouterLoads {
   load(router: number, target: number): number
   recordStart(router: number, target: number): void
@@ -93,7 +93,7 @@
   })
 }
 
-/** Selects the least loaded target by late reports and own requests. */
+/** Selects the least loaded target by delayed reports and own requests. */
 export const createLeastLoadedStrategy: CreateRoutingStrategy = (fleet) =>
   createSynchronousStrategy(fleet, ({ router }, loads) => {
     const listed = listedTargets(fleet, router)
@@ -115,7 +115,7 @@
   return order[0]
 }
 
-/** Strategy A: bounded rendezvous hashing over late reports and own requests. */
+/** Strategy A: bounded rendezvous hashing over delayed reports and own requests. */
 export const createBoundedHashStrategy: CreateRoutingStrategy = (fleet) =>
   createSynchronousStrategy(fleet, ({ chat, router }, loads) => {
     const order = targetsInChatOrder(chat, listedTargets(fleet, router))
--- a/packages/measure/src/node/routing/measureLoad.ts
+++ b/packages/measure/src/node/routing/measureLoad.ts
@@ -21,7 +21,7 @@
 /** Longest wait of a request for the coordinator. */
 const COORDINATOR_TIMEOUT_MS = 5
 const COORDINATOR_OUTAGE = { fromMs: 480_000, toMs: 660_000 }
-/** Each router's VM list is late by a different time. */
+/** Each router's VM list is delayed by a different time. */
 const listLagMs = (router: number): number => router * 250
 
 const baselines: readonly (readonly [string, CreateRoutingStrategy])[] = [
@@ -35,11 +35,11 @@
 
 function measureBaselines(deployment: Deployment): Figure[] {
   const arrivals = createRoutingTrace(deployment, true)
-  return baselines.flatMap(([name, createWay]) => {
+  return baselines.flatMap(([name, createStrategy]) => {
     const { peakSkew, overBound, reuse } = runStrategy(
       deployment,
       arrivals,
-      createWay,
+      createStrategy,
     )
     const measure = `routing.${deployment.name}.${name}`
     return [
--- a/packages/router/src/node/health/createTargetHealth.ts
+++ b/packages/router/src/node/health/createTargetHealth.ts
@@ -10,7 +10,7 @@
 /** Outlier ejection of targets by the outcomes of their requests. */
 export interface TargetHealth {
   /** Returns the targets of a service that may get a request now; all if none may. */
-  eligible(
+  eligibleTargets(
     service: string,
     targets: readonly Target[],
     nowMs: number,
@@ -51,7 +51,7 @@
   }
 
   return {
-    eligible(service, targets, nowMs) {
+    eligibleTargets(service, targets, nowMs) {
       const health = healthOf(service, targets)
       const available = targets.filter(
         ({ id }) => !isAvoided(id, nowMs) && health.isEligible(id, true, nowMs),
--- a/packages/router/src/node/peers/__tests__/createPeerTable.test.ts
+++ b/packages/router/src/node/peers/__tests__/createPeerTable.test.ts
@@ -37,14 +37,14 @@
     table.update(digest({ sequence: 50 }), '10.0.0.1', 0)
     const restarted = digest({ sequence: 1, incarnation: 'second' })
     assert.ok(table.update(restarted, '10.0.0.2', 1))
-    assert.equal(table.live(1)[0]?.address.host, '10.0.0.2')
+    assert.equal(table.livePeers(1)[0]?.address.host, '10.0.0.2')
   })
 
   it('sends to a lost peer at longer intervals, so that it finds the fleet again', () => {
     const table = createPeerTable(OPTIONS)
     table.update(digest(), '10.0.0.1', 0)
     assert.equal(table.takeDue(200, MAX_DUE).length, 1)
-    assert.equal(table.live(5_000).length, 0)
+    assert.equal(table.livePeers(5_000).length, 0)
     assert.equal(table.takeDue(5_000, MAX_DUE).length, 1)
     assert.equal(table.takeDue(5_500, MAX_DUE).length, 0)
     assert.equal(table.takeDue(6_000, MAX_DUE).length, 1)
@@ -54,7 +54,7 @@
     const table = createPeerTable(OPTIONS)
     table.addListed('r2', { host: '10.0.0.2', port: 7_000 }, 0)
     assert.equal(table.takeDue(0, MAX_DUE)[0]?.router, 'r2')
-    assert.equal(table.live(0).length, 0)
+    assert.equal(table.livePeers(0).length, 0)
   })
 
   it('sends to a few peers at a time, least recently sent first', () => {
@@ -76,7 +76,7 @@
   it('excludes stopping peers from the live ones, and removes expired ones', () => {
     const table = createPeerTable(OPTIONS)
     table.update(digest({ stopping: true }), '10.0.0.1', 0)
-    assert.equal(table.live(0).length, 0)
+    assert.equal(table.livePeers(0).length, 0)
     assert.equal(table.expire(60_001)[0]?.router, 'r1')
     assert.equal(table.takeDue(60_002, MAX_DUE).length, 0)
   })
--- a/packages/router/src/node/peers/createPeerTable.ts
+++ b/packages/router/src/node/peers/createPeerTable.ts
@@ -23,7 +23,7 @@
   /** Returns up to `max` peers that a digest is due for, and records that it is sent. */
   takeDue(nowMs: number, max: number): Peer[]
   /** Returns the peers that are neither lost nor stopping. */
-  live(nowMs: number): Peer[]
+  livePeers(nowMs: number): Peer[]
   /** Removes expired peers and returns them. */
   expire(nowMs: number): Peer[]
 }
@@ -88,7 +88,7 @@
       for (const peer of due) peer.sentAtMs = nowMs
       return due
     },
-    live(nowMs) {
+    livePeers(nowMs) {
       return [...peers.values()].filter(
         (peer) => isLive(peer, nowMs) && peer.digest?.stopping === false,
       )
--- a/packages/router/src/node/peers/createPeers.ts
+++ b/packages/router/src/node/peers/createPeers.ts
@@ -77,7 +77,7 @@
 
   /** Returns the digests needed to reach every peer once. */
   const roundsToReachAll = (): number =>
-    Math.ceil(table.live(now()).length / constants.DIGEST_FANOUT)
+    Math.ceil(table.livePeers(now()).length / constants.DIGEST_FANOUT)
 
   function digest(): PeerDigest {
     sequence += 1
@@ -149,7 +149,7 @@
   }
 
   function hasReader(pollAgeOf: PollAge): boolean {
-    const live = table.live(now())
+    const live = table.livePeers(now())
     return hasFreshReader(router, live, pollAgeOf, maxReaderAgeMs(), now())
   }
 
@@ -163,7 +163,7 @@
   }
 
   function broadcast(): void {
-    const lastPollAgeMs = Math.min(...table.live(now()).map(pollAge))
+    const lastPollAgeMs = Math.min(...table.livePeers(now()).map(pollAge))
     if (lastPollAgeMs > constants.SHORT_OUTAGE_MS) lastFleetOutageAtMs = now()
     // A reader sends to all peers: each poll must reach them while it is fresh.
     const due = table.takeDue(
@@ -202,7 +202,7 @@
 
   return {
     routerCount() {
-      const live = table.live(now()).length
+      const live = table.livePeers(now()).length
       return live > 0 ? live + 1 : constants.DEFAULT_ROUTER_COUNT
     },
     hasFreshConfigurationReader: () =>
--- a/packages/router/src/node/routing/createTargetSelector.ts
+++ b/packages/router/src/node/routing/createTargetSelector.ts
@@ -59,7 +59,7 @@
     select(call, tried) {
       const nowMs = now()
       const ready = targetList.ready(call.service, nowMs)
-      const eligible = health.eligible(call.service, ready, nowMs)
+      const eligible = health.eligibleTargets(call.service, ready, nowMs)
       const available = eligible.filter(
         ({ id }) => !tried.has(id) && !stallDetector.isStalled(id, nowMs),
       )
--- a/packages/router/src/node/sources/__tests__/createSourceFollower.test.ts
+++ b/packages/router/src/node/sources/__tests__/createSourceFollower.test.ts
@@ -6,17 +6,17 @@
 import type { KeyedSource, SourceListing, SourcePage } from '../keyedSource.js'
 import { SourceFault } from '../sourceFault.js'
 
-type Reply = SourceListing<string> | SourcePage<string> | SourceFault
+type SourceResponse = SourceListing<string> | SourcePage<string> | SourceFault
 
-/** Returns a source that gives the replies in turn and then never resolves. */
-function createFakeSource(replies: Reply[]): KeyedSource<string> & {
+/** Returns a source that gives the responses in turn and then never resolves. */
+function createFakeSource(responses: SourceResponse[]): KeyedSource<string> & {
   readonly requests: string[]
 } {
   const requests: string[] = []
   function next(): Promise<never> {
-    const reply = replies.shift()
-    if (reply === undefined) return new Promise(() => undefined)
-    const result = typeof reply === 'string' ? err(reply) : ok(reply)
+    const response = responses.shift()
+    if (response === undefined) return new Promise(() => undefined)
+    const result = typeof response === 'string' ? err(response) : ok(response)
     return Promise.resolve(result as never)
   }
   return {
@@ -32,8 +32,8 @@
   }
 }
 
-async function follow(replies: Reply[], requestCount: number) {
-  const source = createFakeSource(replies)
+async function follow(responses: SourceResponse[], requestCount: number) {
+  const source = createFakeSource(responses)
   const seen: string[] = []
   const done = new EventEmitter()
   let nowMs = 0
@@ -62,14 +62,17 @@
   return { requests: source.requests, seen }
 }
 
-const listing = (end: number): Reply => ({
+const listing = (nextOffset: number): SourceResponse => ({
   values: new Map([['a', '1']]),
-  end,
+  nextOffset,
 })
 
 describe('createSourceFollower', () => {
   it('lists once and reads on from there', async () => {
-    const page = { entries: [{ key: 'b', value: '2' }, { key: 'a' }], end: 6 }
+    const page = {
+      entries: [{ key: 'b', value: '2' }, { key: 'a' }],
+      nextOffset: 6,
+    }
     const { requests, seen } = await follow([listing(4), page], 3)
     assert.deepEqual(requests, ['list', 'read 4', 'read 6'])
     assert.deepEqual(seen, ['listing a', 'b=2', 'a=gone'])
@@ -84,14 +87,14 @@
   })
 
   it('lists again after the log was replaced by a shorter one', async () => {
-    const shorter = { entries: [], end: 2 }
+    const shorter = { entries: [], nextOffset: 2 }
     const { requests } = await follow([listing(4), shorter, listing(2)], 4)
     assert.deepEqual(requests, ['list', 'read 4', 'list', 'read 2'])
   })
 
   it('reads on from its offset after an outage and reports the outage once', async () => {
     const fault = SourceFault.Unavailable
-    const page = { entries: [], end: 4 }
+    const page = { entries: [], nextOffset: 4 }
     const { requests, seen } = await follow([listing(4), fault, fault, page], 5)
     assert.deepEqual(requests, ['list', 'read 4', 'read 4', 'read 4', 'read 4'])
     assert.deepEqual(seen, ['listing a', 'fault unavailable', 'recovered true'])
--- a/packages/router/src/node/sources/createSourceFollower.ts
+++ b/packages/router/src/node/sources/createSourceFollower.ts
@@ -37,7 +37,7 @@
   const { source, now, onListing, onEntry } = options
   const stopping = new AbortController()
   const { signal } = stopping
-  let end: number | undefined
+  let nextOffset: number | undefined
   let lastPollAtMs = -Infinity
   let outageStartMs: number | undefined
 
@@ -50,7 +50,7 @@
 
   function onFault(fault: SourceFault): void {
     if (fault === SourceFault.Trimmed) {
-      end = undefined
+      nextOffset = undefined
       return
     }
     if (outageStartMs !== undefined) return
@@ -65,7 +65,7 @@
       return false
     }
     onSuccess()
-    end = listing.value.end
+    nextOffset = listing.value.nextOffset
     onListing(listing.value.values)
     options.onRead?.()
     return true
@@ -78,8 +78,9 @@
       return page.error === SourceFault.Trimmed
     }
     onSuccess()
-    // An end before the offset means that the log was replaced by another one.
-    end = page.value.end < from ? undefined : page.value.end
+    // A next offset below `from` means that the log was replaced by another one.
+    nextOffset =
+      page.value.nextOffset < from ? undefined : page.value.nextOffset
     // Only the last change of a key counts; earlier ones are superseded.
     const last = new Map(page.value.entries.map((entry) => [entry.key, entry]))
     for (const entry of last.values()) onEntry(entry)
@@ -89,10 +90,10 @@
 
   /** Polls once; resolves with the milliseconds until the next poll. */
   async function poll(): Promise<number> {
-    if (end === undefined)
+    if (nextOffset === undefined)
       return (await list()) ? options.pollIntervalMs : RETRY_MS
     if (options.hasFreshReader?.()) return RETRY_MS
-    return (await readChanges(end)) ? options.pollIntervalMs : RETRY_MS
+    return (await readChanges(nextOffset)) ? options.pollIntervalMs : RETRY_MS
   }
 
   async function run(): Promise<void> {
--- a/packages/router/src/node/sources/keyedSource.ts
+++ b/packages/router/src/node/sources/keyedSource.ts
@@ -10,15 +10,15 @@
 /** The newest value of every key. */
 export interface SourceListing<T> {
   readonly values: ReadonlyMap<string, T>
-  /** Offset from which to read on. */
-  readonly end: number
+  /** Offset of the next read. */
+  readonly nextOffset: number
 }
 
 /** Changes in log order. */
 export interface SourcePage<T> {
   readonly entries: readonly SourceEntry<T>[]
-  /** Offset from which to read on. */
-  readonly end: number
+  /** Offset of the next read. */
+  readonly nextOffset: number
 }
 
 /** Keyed values written by others, readable as a whole and as a log of changes. */
--- a/packages/router/src/node/targets/__tests__/followTargets.test.ts
+++ b/packages/router/src/node/targets/__tests__/followTargets.test.ts
@@ -23,13 +23,13 @@
   const source: KeyedSource<Target> = {
     list: () => {
       const values = new Map(listed.map((entry) => [entry.id, entry]))
-      return Promise.resolve(ok({ values, end: 0 }))
+      return Promise.resolve(ok({ values, nextOffset: 0 }))
     },
     read: (from) =>
       Promise.resolve(
         isUnavailable
           ? err(SourceFault.Unavailable)
-          : ok({ entries: changes.splice(0), end: from }),
+          : ok({ entries: changes.splice(0), nextOffset: from }),
       ),
   }
   const targetList = createTargetList(2_000)
