--- a/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
@@ -94,7 +94,7 @@
 
   it('is truncated detectably rather than continued with the stream of another run', async () => {
     engine().queuedFaults.push({ cutAfterEvents: 2 })
-    for (let tries = 0; tries < 4; tries += 1)
+    for (let attempts = 0; attempts < 4; attempts += 1)
       engine().queuedFaults.push({ crossAnswers: true })
     const response = await call()
     assert.equal(response.complete, false)
--- a/packages/daemon/src/node/claims/__tests__/claims.test.ts
+++ b/packages/daemon/src/node/claims/__tests__/claims.test.ts
@@ -141,7 +141,7 @@
 
   it('is accepted again after the target refused it', async () => {
     const key = newKey()
-    for (let tries = 0; tries < 3; tries += 1)
+    for (let attempts = 0; attempts < 3; attempts += 1)
       fleet.plain.queuedFaults.push({ refuse: true })
     const refused = await call(key)
     assert.equal(refused.headers[VERDICT_HEADER], 'not-run')
--- a/packages/daemon/src/node/routing/__tests__/grants.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/grants.test.ts
@@ -244,7 +244,7 @@
     await eventually(
       async () => (await sendChat(running, 'voyage', hint)).target !== target,
     )
-    for (let tries = 0; tries < 5; tries += 1)
+    for (let attempts = 0; attempts < 5; attempts += 1)
       assert.notEqual((await sendChat(running, 'voyage', hint)).target, target)
   })
 })
