--- a/packages/daemon/src/node/configuration/createSnapshotWriter.ts
+++ b/packages/daemon/src/node/configuration/createSnapshotWriter.ts
@@ -3,7 +3,7 @@
   scheduleSnapshot,
   SNAPSHOT_STREAM,
   type SnapshotSchedule,
-  type SnapshotScheduleInput,
+  type SnapshotScheduleOptions,
   snapshotRecordSchema,
   type WrittenSnapshot,
 } from '@auburnbay/core'
@@ -26,7 +26,7 @@
   /** Retention time of the log, in milliseconds. */
   readonly retentionMs: number
   /** Current time, in milliseconds since the epoch. */
-  readonly nowMs: () => number
+  readonly epochNow: () => number
   /** Whether this router follows the log itself. */
   readonly followsLog: () => boolean
 }
@@ -46,16 +46,16 @@
 
   /** Updates the schedule; returns whether a snapshot is due. */
   function advanceSchedule(): boolean {
-    const input: SnapshotScheduleInput = {
+    const scheduleOptions: SnapshotScheduleOptions = {
       version: store.state.version,
       nextOffset: store.state.nextOffset,
       last,
       router: options.router,
       liveRouters: options.liveRouters(),
       retentionMs: options.retentionMs,
-      nowMs: options.nowMs(),
+      nowMs: options.epochNow(),
     }
-    const step = scheduleSnapshot(schedule, input)
+    const step = scheduleSnapshot(schedule, scheduleOptions)
     schedule = step.schedule
     return step.write
   }
--- a/packages/daemon/src/node/createDaemon.ts
+++ b/packages/daemon/src/node/createDaemon.ts
@@ -62,7 +62,7 @@
     retentionMs: settings.logService.retentionMs,
     peers: () => configurationPeers(membership.livePeers()),
     fetch: (address, req) => peerClient.configurationSince(address, req),
-    nowMs: Date.now,
+    epochNow: Date.now,
   })
   const configuration = () => tailer.state.configuration
   const vmList = createVmListPoller({
@@ -90,7 +90,7 @@
     vms,
     membership: () => membership,
     client: peerClient,
-    reporter: () => loadPoller,
+    loadPoller: () => loadPoller,
     cacheEvents: () => cacheEvents,
     eligible: isEligible,
     metrics,
@@ -155,13 +155,13 @@
     logger: logs.forComponent('orders'),
   })
   const handlers: PeerHandlers = {
-    onHeartbeat: (heartbeat) => {
+    handleHeartbeat: (heartbeat) => {
       membership.recordHeartbeat(heartbeat)
       return self()
     },
-    onConfigurationSince: (req) => tailer.createTransfer(req),
-    onGrant: (req) => routing.onGrant(req),
-    onCollect: (req) => routing.onCollect(req),
+    handleTransferRequest: (req) => tailer.createTransfer(req),
+    handleGrantRequest: (req) => routing.handleGrantRequest(req),
+    handleCollectRequest: (req) => routing.handleCollectRequest(req),
   }
   const peerServer = await createPeerServer(settings, handlers, network)
 
@@ -173,7 +173,7 @@
     settings: settings.claims,
     log,
     logger: logs.forComponent('claims'),
-    now: Date.now,
+    epochNow: Date.now,
   })
   const dispatcher = createDispatcher({
     admission,
--- a/packages/measure/src/node/state/measureOrderWindow.ts
+++ b/packages/measure/src/node/state/measureOrderWindow.ts
@@ -38,7 +38,7 @@
       desired: desiredState,
     }
     const [action] = planOrders({
-      targets: [{ ...target, observed: state, drain, strayed: true }],
+      targets: [{ ...target, observed: state, drain, drifted: true }],
       lease: { token: 2, validUntilMs: nowMs + LEASE_MS },
       loads: 1,
       nowMs,
--- a/packages/router/src/node/callers/createDispatcher.ts
+++ b/packages/router/src/node/callers/createDispatcher.ts
@@ -72,7 +72,7 @@
     progress: CallProgress,
     sentAtMs: number,
   ): number {
-    const remainingMs = call.dueAtMs - sentAtMs
+    const remainingMs = call.deadlineAtMs - sentAtMs
     if (!canRetryAfterTimeout(call, progress)) return remainingMs
     const { name, targetLatencyMs } = call.route
     return Math.min(remainingMs, headerTimeout.timeoutMs(name, targetLatencyMs))
@@ -86,9 +86,9 @@
   ): NextStep {
     const handling = classifyFailure(failure.cause)
     if (handling.countsAgainstHealth)
-      health.record(target, TargetOutcome.Failure, now())
+      health.recordOutcome(target, TargetOutcome.Failure, now())
     if (handling.avoidMs > 0) health.avoid(target.id, handling.avoidMs, now())
-    if (handling.discardsConnections) client.discardConnections(target)
+    if (handling.retiresConnections) client.retireConnections(target)
     progress.verdict = combineVerdicts(progress.verdict, failure.verdict)
     progress.lastCause = failure.cause
     if (failure.verdict !== Verdict.NotRun) progress.possibleRuns += 1
@@ -128,7 +128,7 @@
     progress.verdict = Verdict.Ran
     const isError = status >= MIN_SERVER_ERROR_STATUS
     const outcome = isError ? TargetOutcome.Failure : TargetOutcome.Success
-    health.record(target, outcome, now())
+    health.recordOutcome(target, outcome, now())
     if (
       shouldRetryServerError(call, progress, response) &&
       options.retryBudgetFor(call.service).tryAcquire(now())
@@ -144,7 +144,7 @@
       : RelayOutcome.Broken
     if (relayOutcome !== RelayOutcome.Broken) return NextStep.Done
     response.res.destroy()
-    health.record(target, TargetOutcome.Failure, now())
+    health.recordOutcome(target, TargetOutcome.Failure, now())
     progress.lastCause = TargetFailureCause.Broken
     log.write(LogEvent.RequestSent, {
       request: call.request.attemptId,
@@ -180,7 +180,7 @@
         options: {
           target,
           bodyBytes: call.body.length,
-          remainingMs: call.dueAtMs - sentAtMs,
+          remainingMs: call.deadlineAtMs - sentAtMs,
           ...(customer && { customer: customer.name }),
           ...(route.cachesPrompts && {
             priority: customer?.priority ?? route.priority,
@@ -213,7 +213,7 @@
     const relay = createResponseRelay(call, res, options.protocol)
     const progress = createCallProgress(relay)
     const retryBudget = options.retryBudgetFor(call.service)
-    retryBudget.recordRequest(now())
+    retryBudget.recordFirstAttempt(now())
 
     function tryChargeRetry(): boolean {
       if (!retryBudget.tryAcquire(now())) return false
@@ -222,7 +222,7 @@
     }
 
     while (progress.sends < MAX_SENDS && !call.signal.aborted) {
-      if (call.dueAtMs - now() < MIN_REMAINING_MS) break
+      if (call.deadlineAtMs - now() < MIN_REMAINING_MS) break
       const target = selector.select(call, progress.triedTargets)
       if (!target) break
       const next = await sendTo(call, target, progress)
--- a/packages/router/src/node/health/createTargetHealth.ts
+++ b/packages/router/src/node/health/createTargetHealth.ts
@@ -10,12 +10,12 @@
 /** Outlier ejection of targets by the outcomes of their requests. */
 export interface TargetHealth {
   /** Returns the targets of a service that may get a request now; all if none may. */
-  eligible(
+  eligibleTargets(
     service: string,
     targets: readonly Target[],
     nowMs: number,
   ): readonly Target[]
-  record(target: Target, outcome: TargetOutcome, nowMs: number): void
+  recordOutcome(target: Target, outcome: TargetOutcome, nowMs: number): void
   /** Excludes a target for `forMs` milliseconds, unless no other is left. */
   avoid(targetId: string, forMs: number, nowMs: number): void
 }
@@ -51,14 +51,14 @@
   }
 
   return {
-    eligible(service, targets, nowMs) {
+    eligibleTargets(service, targets, nowMs) {
       const health = healthOf(service, targets)
       const available = targets.filter(
         ({ id }) => !isAvoided(id, nowMs) && health.isEligible(id, true, nowMs),
       )
       return available.length > 0 ? available : targets
     },
-    record(target, outcome, nowMs) {
+    recordOutcome(target, outcome, nowMs) {
       const health = services.get(target.service)
       if (!health) return
       const isProbe = health.recordStart(target.id, nowMs)
