--- a/packages/measure/src/node/control/constants.ts
+++ b/packages/measure/src/node/control/constants.ts
@@ -2,15 +2,15 @@
 export const MAX_CONTROL_BYTES_PER_S = 27_000
 /** Share of a core that a router may spend on control work. */
 export const MAX_CONTROL_CORE_SHARE = 0.011
-/** Time to the first token that users ask for, in milliseconds. */
+/** Target time to the first token, in milliseconds. */
 export const FIRST_TOKEN_MS = 500
-/** Share of that time that a router may add; the engine's prefill needs the rest. */
+/** Share of {@link FIRST_TOKEN_MS} that a router may add; the engine's prefill needs the rest. */
 export const MAX_FIRST_TOKEN_SHARE = 0.5
 /** Requests per second of one router at the target size: 100,000 over 2,600 routers. */
 export const ROUTER_REQUESTS_PER_S = 100_000 / 2_600
-/** Engines of the briefing service in today's deployment. */
+/** Engines of the briefing service in the current deployment. */
 export const ENGINES = 13
-/** Routers in today's deployment. */
+/** Routers in the current deployment. */
 export const ROUTERS = 9
 /** Milliseconds without requests after which a router stops polling target loads. */
 export const IDLE_DELAY_MS = 7_000
--- a/packages/measure/src/node/control/startControlFleet.ts
+++ b/packages/measure/src/node/control/startControlFleet.ts
@@ -64,16 +64,16 @@
       return add(`/targets/engine-${index + 1}`, value)
     }),
   ]
-  const reply = await requestJson({
+  const response = await requestJson({
     method: 'POST',
     url: `http://${adminAddress}/config/patches`,
     headers: { authorization: `Bearer ${ADMIN_TOKEN}` },
     body: { baseVersion: 0, operations },
     timeoutMs: CALL_TIMEOUT_MS,
   })
-  if (reply.isErr() || reply.value.status !== 200)
+  if (response.isErr() || response.value.status !== 200)
     throw new Error(
-      `the router rejected the configuration: ${JSON.stringify(reply)}`,
+      `the router rejected the configuration: ${JSON.stringify(response)}`,
     )
   return key.text
 }
--- a/packages/measure/src/node/limits/deployments.ts
+++ b/packages/measure/src/node/limits/deployments.ts
@@ -1,4 +1,4 @@
-/** A model service as one router sees it. */
+/** Size and customer mix of a model service. */
 export interface Deployment {
   readonly name: string
   readonly targets: number
--- a/packages/measure/src/node/limits/measureRetries.ts
+++ b/packages/measure/src/node/limits/measureRetries.ts
@@ -43,9 +43,9 @@
     },
     {
       measure: `${measure}.answered-half-down`,
-      value: run.answered / run.firstAttempts,
+      value: run.succeeded / run.firstAttempts,
       unit: 'share of requests',
-      baseline: unlimited.answered / unlimited.firstAttempts,
+      baseline: unlimited.succeeded / unlimited.firstAttempts,
     },
     {
       measure: `${measure}.tries-wasted-half-down`,
--- a/packages/measure/src/node/limits/measureShares.ts
+++ b/packages/measure/src/node/limits/measureShares.ts
@@ -17,7 +17,7 @@
   return atMs >= SURGE_FROM_MS && atMs < SURGE_UNTIL_MS
 }
 
-/** Returns the largest part of its demand that a customer within its share lost. */
+/** Returns the largest share of requests not served for a customer within its share. */
 function maxUnservedShare(run: QueueRun): number {
   const demand = new Map<string, number>()
   const served = new Map<string, number>()
--- a/packages/measure/src/node/limits/measuredLimit.ts
+++ b/packages/measure/src/node/limits/measuredLimit.ts
@@ -12,7 +12,7 @@
 export interface MeasuredLimit {
   readonly name: string
   readonly limit: number
-  /** Age in milliseconds above which the use in a digest has ended. */
+  /** Age in milliseconds above which the usage reported in a digest no longer counts. */
   readonly holdMs: number
   /** Milliseconds for which an admission counts; 0 if it counts until the request ends. */
   readonly lookbackMs: number
--- a/packages/measure/src/node/limits/runFleetLimit.ts
+++ b/packages/measure/src/node/limits/runFleetLimit.ts
@@ -11,7 +11,7 @@
 export interface RunFleetLimitOptions {
   readonly limit: MeasuredLimit
   readonly routers: number
-  /** Arrivals a second over the whole fleet. */
+  /** Arrivals a second over all routers. */
   readonly arrivalsPerS: number
   readonly meanRunMs: number
   readonly lengthMs: number
--- a/packages/measure/src/node/limits/runRetries.ts
+++ b/packages/measure/src/node/limits/runRetries.ts
@@ -26,7 +26,7 @@
   /** Retries of requests that may have run and are not idempotent. */
   readonly unsafeRetries: number
   /** Requests that reached a working target. */
-  readonly answered: number
+  readonly succeeded: number
   /** Attempts at targets that are down. */
   readonly wastedAttempts: number
   /** Largest share of targets ejected at one time. */
@@ -72,7 +72,7 @@
   }))
   health.setTargets(targets.map(({ id }) => id))
   const counts = { firstAttempts: 0, retries: 0, unsafeRetries: 0 }
-  let answered = 0
+  let succeeded = 0
   let wastedAttempts = 0
   let ejectedShare = 0
 
@@ -87,18 +87,18 @@
     const nowMs = index * REQUEST_INTERVAL_MS
     const idempotent = random.unit() < IDEMPOTENT_SHARE
     const order = rendezvousOrder(`chat-${index}`, targets)
-    const tried = new Set<string>()
+    const attempted = new Set<string>()
     counts.firstAttempts += 1
     budget.recordFirstAttempt()
     let mayHaveRun = false
     for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
       const target = order.find(
         ({ id }) =>
-          !tried.has(id) &&
+          !attempted.has(id) &&
           (!options.ejecting || health.isEligible(id, idempotent, nowMs)),
       )
       if (!target) return
-      tried.add(target.id)
+      attempted.add(target.id)
       if (attempt > 1 && mayHaveRun && !idempotent) counts.unsafeRetries += 1
       const isProbe = health.recordStart(target.id, nowMs)
       const { Success, Failure } = TargetOutcome
@@ -106,7 +106,7 @@
       health.recordOutcome(target.id, outcome, nowMs, isProbe)
       recordEjectedShare(nowMs)
       if (!target.down) {
-        answered += 1
+        succeeded += 1
         return
       }
       wastedAttempts += 1
@@ -122,5 +122,5 @@
   }
 
   for (let index = 0; index < options.requests; index += 1) send(index)
-  return { ...counts, answered, wastedAttempts, ejectedShare }
+  return { ...counts, succeeded, wastedAttempts, ejectedShare }
 }
--- a/packages/measure/src/node/once/createTrialRouter.ts
+++ b/packages/measure/src/node/once/createTrialRouter.ts
@@ -28,7 +28,7 @@
   readonly address: string
 }
 
-/** A router of the daemon's own parts, without membership and load bounds. */
+/** Router built from the daemon's components, without membership and load bounds. */
 export interface TrialRouter {
   readonly url: string
   /** Pause between claiming and sending a request, in milliseconds. */
--- a/packages/measure/src/node/once/findContradictions.ts
+++ b/packages/measure/src/node/once/findContradictions.ts
@@ -35,7 +35,7 @@
     .length
 }
 
-function isOwnStream(record: ExecutionRecord, outcome: CallOutcome): boolean {
+function matchesStream(record: ExecutionRecord, outcome: CallOutcome): boolean {
   const { marker, text, complete } = outcome
   for (const run of record.runs) {
     if (run.chat !== marker) continue
@@ -45,12 +45,15 @@
   return false
 }
 
-function isOwnChat(record: ExecutionRecord, outcome: CallOutcome): boolean {
+function matchesCompletion(
+  record: ExecutionRecord,
+  outcome: CallOutcome,
+): boolean {
   for (const run of record.runs) {
     if (run.chat !== outcome.marker) continue
     const message = { role: 'assistant', content: run.words.join('') }
-    const reply = { id: run.runId, choices: [{ index: 0, message }] }
-    const expected = JSON.stringify(reply)
+    const completion = { id: run.runId, choices: [{ index: 0, message }] }
+    const expected = JSON.stringify(completion)
     if (
       outcome.complete
         ? outcome.text === expected
@@ -61,22 +64,25 @@
   return false
 }
 
-function isOwnEcho(outcome: CallOutcome): boolean {
+function matchesEcho(outcome: CallOutcome): boolean {
   const notice = outcome.idempotencyKey ?? outcome.marker
   const ending = `"echo":${JSON.stringify({ notice })}}`
   return !outcome.complete || outcome.text.endsWith(ending)
 }
 
-function isOwnResponse(record: ExecutionRecord, outcome: CallOutcome): boolean {
+function matchesExecution(
+  record: ExecutionRecord,
+  outcome: CallOutcome,
+): boolean {
   switch (outcome.kind) {
     case CallKind.StreamedChat:
-      return isOwnStream(record, outcome)
+      return matchesStream(record, outcome)
     case CallKind.NonStreamedChat:
-      return isOwnChat(record, outcome)
+      return matchesCompletion(record, outcome)
     case CallKind.IdempotentCall:
     case CallKind.NonIdempotentCall:
     case CallKind.KeyedCall:
-      return isOwnEcho(outcome)
+      return matchesEcho(outcome)
   }
 }
 
@@ -98,7 +104,7 @@
   } else if (verdict === Verdict.Ran && ran === 0)
     return 'verdict ran, but the request did not run'
   const succeeded = status > 0 && status < FIRST_ERROR_STATUS
-  if (succeeded && !isOwnResponse(record, outcome))
+  if (succeeded && !matchesExecution(record, outcome))
     return 'response does not match the execution of the request'
   return undefined
 }
--- a/packages/measure/src/node/routing/bench/simulateRouting.ts
+++ b/packages/measure/src/node/routing/bench/simulateRouting.ts
@@ -38,7 +38,7 @@
 export interface RoutingResult {
   /** Requests that started on a target. */
   readonly placements: number
-  /** Share of the requests of returning chats that found their cache. */
+  /** Share of returning chats' requests that hit the target's prompt cache. */
   readonly reuse: number
   /** Greatest (load - 1) / mean load right after a placement. */
   readonly peakSkew: number
--- a/packages/measure/src/node/routing/bench/strategies/startDigests.ts
+++ b/packages/measure/src/node/routing/bench/strategies/startDigests.ts
@@ -16,7 +16,7 @@
 
 /**
  * Updates each router's fallback quota with the in-flight counts of all live
- * routers, once a heartbeat interval.
+ * routers, once per digest interval.
  */
 export function startDigests(options: StartDigestsOptions): void {
   const { fleet, routers, members, view } = options
--- a/packages/measure/src/node/routing/measureControl.ts
+++ b/packages/measure/src/node/routing/measureControl.ts
@@ -200,7 +200,7 @@
   ]
 }
 
-/** Plain services have short requests, each of which needs a grant. */
+/** Measures the grant traffic of a plain service, whose short requests each need a grant. */
 async function measurePlain(deployment: Deployment): Promise<Figure> {
   const wire = await measureWireBytes(deployment)
   const arrivals = createRoutingTrace(deployment, false, PLAIN_TRACE_MS)
--- a/packages/measure/src/node/routing/measureMovedChats.ts
+++ b/packages/measure/src/node/routing/measureMovedChats.ts
@@ -32,7 +32,7 @@
   return targets[hash32(chat) % targets.length] ?? ''
 }
 
-/** Measures the share of chats that move although their target stays. */
+/** Measures the share of chats that move although their target has not left. */
 export function measureMovedChats(): Figure {
   return {
     measure: 'routing.moved-chats-on-leave',
--- a/packages/measure/src/node/state/measureConfigurationFaults.ts
+++ b/packages/measure/src/node/state/measureConfigurationFaults.ts
@@ -189,7 +189,7 @@
   return totals
 }
 
-/** Counts versions that went back or differed in seeded fault schedules. */
+/** Counts version reverts and disagreements between routers in seeded fault schedules. */
 export function measureConfigurationFaults(): Figure[] {
   const replacedLog = runSchedules(false)
   const shortenedLog = runSchedules(true)
--- a/packages/measure/src/node/state/measurePropagation.ts
+++ b/packages/measure/src/node/state/measurePropagation.ts
@@ -35,13 +35,13 @@
   seed: number,
 ): number {
   const random = createRandom(seed)
-  const inForceAt = new Array<number>(size.routers).fill(Infinity)
-  const phases = inForceAt.map(() => random.unit() * size.heartbeatMs)
+  const inForceAtMs = new Array<number>(size.routers).fill(Infinity)
+  const phases = inForceAtMs.map(() => random.unit() * size.heartbeatMs)
   const dead = phases.map(() => random.unit() < DEAD_ROUTER_SHARE)
   for (const tailer of tailers)
-    if (!dead[tailer]) inForceAt[tailer] = LOG_READ_MS * (1 + random.unit())
+    if (!dead[tailer]) inForceAtMs[tailer] = LOG_READ_MS * (1 + random.unit())
   for (let nowMs = 0; nowMs < HORIZON_MS; nowMs += TICK_MS) {
-    const isDone = inForceAt.every(
+    const isDone = inForceAtMs.every(
       (at, index) => dead[index] === true || at <= nowMs,
     )
     if (isDone) return nowMs
@@ -50,7 +50,7 @@
       if (dead[index] || sinceDue >= TICK_MS) continue
       for (const peer of peers[index] ?? []) {
         if (dead[peer] || random.unit() < HEARTBEAT_LOSS_RATE) continue
-        exchangeDigests(inForceAt, index, peer, nowMs)
+        exchangeDigests(inForceAtMs, index, peer, nowMs)
       }
     }
   }
@@ -58,16 +58,19 @@
 }
 
 function exchangeDigests(
-  inForceAt: number[],
+  inForceAtMs: number[],
   sender: number,
   receiver: number,
   nowMs: number,
 ): void {
   const hasChange = (index: number): boolean =>
-    (inForceAt[index] ?? Infinity) <= nowMs
+    (inForceAtMs[index] ?? Infinity) <= nowMs
   if (hasChange(sender) === hasChange(receiver)) return
   const behind = hasChange(sender) ? receiver : sender
-  inForceAt[behind] = Math.min(inForceAt[behind] ?? Infinity, nowMs + FETCH_MS)
+  inForceAtMs[behind] = Math.min(
+    inForceAtMs[behind] ?? Infinity,
+    nowMs + FETCH_MS,
+  )
 }
 
 function measureSize(size: FleetSize): Figure[] {
--- a/packages/measure/src/node/state/simulatedRouter.ts
+++ b/packages/measure/src/node/state/simulatedRouter.ts
@@ -12,7 +12,7 @@
 /** Router that runs the configuration logic of core without I/O. */
 export class SimulatedRouter {
   state: ConfigurationState = createConfigurationState()
-  /** How often the version went back. */
+  /** Number of times the version decreased. */
   reverts = 0
   /** Whether the router reaches neither the log nor its peers. */
   partitioned = false
@@ -44,10 +44,10 @@
   }
 }
 
-/** Baseline: a router that accepts whatever the log holds. */
+/** Baseline: a router that accepts the log without checks. */
 export class NaiveRouter {
   state: ConfigurationState = createConfigurationState()
-  /** How often the version went back. */
+  /** Number of times the version decreased. */
   reverts = 0
 
   /** Reads the log; starts from an empty state if the log was replaced or shortened. */
--- a/packages/measure/src/node/stopping/__tests__/stopping.test.ts
+++ b/packages/measure/src/node/stopping/__tests__/stopping.test.ts
@@ -10,8 +10,8 @@
 describe('a router process that receives SIGTERM', () => {
   it('fails no request during a rolling restart', async () => {
     const { outcomes, exitCodes, openAtStop } = await runRollingRestart(2, 6)
-    const { whole, ...others } = outcomes
-    assert.ok(whole > 0)
+    const { [ChatOutcome.Complete]: complete, ...others } = outcomes
+    assert.ok(complete > 0)
     assert.ok(openAtStop > 0)
     assert.deepEqual(Object.values(others), [0, 0, 0, 0])
     assert.deepEqual(exitCodes, [0, 0])
--- a/packages/measure/src/node/stopping/startProcessFleet.ts
+++ b/packages/measure/src/node/stopping/startProcessFleet.ts
@@ -45,12 +45,12 @@
 
 /** Returns whether a router reports that it is ready. */
 export async function isReady(router: RouterProcess): Promise<boolean> {
-  const reply = await requestJson({
+  const response = await requestJson({
     method: 'GET',
     url: `http://${formatAddress(router.addresses.callers)}/readyz`,
     timeoutMs: CALL_TIMEOUT_MS,
   })
-  return reply.isOk() && reply.value.status === 200
+  return response.isOk() && response.value.status === 200
 }
 
 function createOperations(
@@ -124,7 +124,7 @@
   }
 
   const first = await start()
-  const reply = await requestJson({
+  const response = await requestJson({
     method: 'POST',
     url: `http://${formatAddress(first.addresses.admin)}/config/patches`,
     headers: { authorization: `Bearer ${ADMIN_TOKEN}` },
@@ -136,9 +136,9 @@
     },
     timeoutMs: CALL_TIMEOUT_MS,
   })
-  if (reply.isErr() || reply.value.status !== 200)
+  if (response.isErr() || response.value.status !== 200)
     throw new Error(
-      `the router rejected the configuration: ${JSON.stringify(reply)}`,
+      `the router rejected the configuration: ${JSON.stringify(response)}`,
     )
   await waitUntilReady(first)
   for (let index = 1; index < options.routers; index += 1)
--- a/packages/stand-ins/src/node/engine/createEngine.ts
+++ b/packages/stand-ins/src/node/engine/createEngine.ts
@@ -123,10 +123,10 @@
     const run = activeFaults.crossAnswers ? createForeignRun(ownRun) : ownRun
     while (!run.finished && !res.destroyed) await sleep(1)
     const message = { role: 'assistant', content: run.words.join('') }
-    const reply = { id: run.runId, choices: [{ index: 0, message }] }
-    const text = JSON.stringify(reply)
+    const completion = { id: run.runId, choices: [{ index: 0, message }] }
+    const text = JSON.stringify(completion)
     if (activeFaults.cutAfterBytes < 0) {
-      sendJson(res, 200, reply, createResponseHeaders(run))
+      sendJson(res, 200, completion, createResponseHeaders(run))
       return
     }
     res.writeHead(200, {
--- a/packages/stand-ins/src/node/engine/createEngineOrders.ts
+++ b/packages/stand-ins/src/node/engine/createEngineOrders.ts
@@ -4,7 +4,7 @@
 
 /** Options for {@link createEngineOrders}. */
 export interface EngineOrderOptions {
-  /** Rejects an order whose token is lower than an earlier one. @default true */
+  /** Whether orders with a lower fencing token than an earlier order are rejected. @default true */
   readonly checksFencing?: boolean
   /** Time that applying an order takes, in milliseconds. @default 0 */
   readonly applyMs?: number
@@ -38,10 +38,10 @@
 
 const WEIGHT_TIMEOUT_MS = 5_000
 
-/** Path at which an engine's state is read and ordered. */
+/** Path for reading an engine's state and sending orders. */
 export const ORDER_PATH = '/orders/state'
 
-/** Creates the part of an engine stand-in that applies orders. */
+/** Creates the order handling of an engine stand-in. */
 export function createEngineOrders(
   options: EngineOrderOptions = {},
 ): EngineOrders {
@@ -60,12 +60,12 @@
       desired.model === state.model &&
       desired.modelVersion === state.modelVersion
     if (weightStoreUrl === undefined || isLoaded) return true
-    const reply = await requestJson({
+    const response = await requestJson({
       method: 'GET',
       url: `${weightStoreUrl}/weights/${desired.model}`,
       timeoutMs: WEIGHT_TIMEOUT_MS,
     })
-    return reply.isOk() && reply.value.status === 200
+    return response.isOk() && response.value.status === 200
   }
 
   async function applyOrder(
--- a/packages/stand-ins/src/node/engine/engineFaults.ts
+++ b/packages/stand-ins/src/node/engine/engineFaults.ts
@@ -2,7 +2,7 @@
 export interface EngineFaults {
   /** Rejects requests with 503 before running them. */
   refuse: boolean
-  /** Closes the connection on the head of a request, before reading its body. */
+  /** Closes the connection after the headers of a request, before reading its body. */
   resetBefore: boolean
   /** Runs the request, then closes the connection without a response. */
   resetAfter: boolean
--- a/packages/stand-ins/src/node/plainService/createPlainService.ts
+++ b/packages/stand-ins/src/node/plainService/createPlainService.ts
@@ -75,10 +75,10 @@
       : record.requestId
     const headers = { 'x-request-id': requestId }
     const echo = activeFaults.crossAnswers ? { notice: 'foreign' } : body
-    const reply = { recorded: calls.length, echo }
+    const responseBody = { recorded: calls.length, echo }
     if (activeFaults.cutAfterBytes >= 0)
-      sendTruncated(res, reply, headers, activeFaults.cutAfterBytes)
-    else sendJson(res, 200, reply, headers)
+      sendTruncated(res, responseBody, headers, activeFaults.cutAfterBytes)
+    else sendJson(res, 200, responseBody, headers)
   }
 
   async function handle(call: StandInRequest): Promise<void> {
--- a/packages/stand-ins/src/node/plainService/plainFaults.ts
+++ b/packages/stand-ins/src/node/plainService/plainFaults.ts
@@ -2,7 +2,7 @@
 export interface PlainFaults {
   /** Rejects calls with 503 before running them. */
   refuse: boolean
-  /** Closes the connection on the head of a call, before reading its body. */
+  /** Closes the connection after the headers of a call, before reading its body. */
   resetBefore: boolean
   /** Runs the call, then closes the connection without a response. */
   resetAfter: boolean
--- a/packages/stand-ins/src/node/server/createStandIn.ts
+++ b/packages/stand-ins/src/node/server/createStandIn.ts
@@ -34,7 +34,7 @@
   }
 }
 
-/** Runs when the head of a request has arrived; returns false to ignore the request. */
+/** Called when the headers of a request have arrived; returns false to ignore the request. */
 export type HeadHandler = (req: IncomingMessage) => boolean
 
 async function handleRequest(
--- a/playground/onboarding/src/node/sendSignOff.ts
+++ b/playground/onboarding/src/node/sendSignOff.ts
@@ -18,7 +18,7 @@
   signOff: SignOff,
 ): Promise<number> {
   const { idempotencyKey, ...body } = signOff
-  const reply = await requestJson({
+  const response = await requestJson({
     method: 'POST',
     url: `${url}/v1/services/records/sign-offs`,
     headers: {
@@ -28,7 +28,7 @@
     body,
     timeoutMs: TIMEOUT_MS,
   })
-  if (reply.isOk()) return reply.value.status
+  if (response.isOk()) return response.value.status
   const hint = `check ${VERDICT_HEADER} before sending it again`
-  throw new Error(`${reply.error.message}; ${hint}`)
+  throw new Error(`${response.error.message}; ${hint}`)
 }
--- a/playground/shared/src/node/startSample.ts
+++ b/playground/shared/src/node/startSample.ts
@@ -52,16 +52,16 @@
 ) {
   const headers = { authorization: `Bearer ${token}` }
   const call = { method, url, headers, body, timeoutMs: CALL_TIMEOUT_MS }
-  const reply = await requestJson(call)
-  if (reply.isErr() || reply.value.status !== 200)
-    throw new Error(`${method} ${url} failed: ${JSON.stringify(reply)}`)
+  const response = await requestJson(call)
+  if (response.isErr() || response.value.status !== 200)
+    throw new Error(`${method} ${url} failed: ${JSON.stringify(response)}`)
 }
 
 async function waitUntilReady(baseUrl: string): Promise<void> {
   const call = { method: 'GET', timeoutMs: CALL_TIMEOUT_MS }
   for (let attempt = 0; attempt < READY_ATTEMPTS; attempt += 1) {
-    const reply = await requestJson({ ...call, url: `${baseUrl}/readyz` })
-    if (reply.isOk() && reply.value.status === 200) return
+    const response = await requestJson({ ...call, url: `${baseUrl}/readyz` })
+    if (response.isOk() && response.value.status === 200) return
     await sleep(READY_POLL_MS)
   }
   throw new Error(`the router at ${baseUrl} did not become ready`)
@@ -94,7 +94,7 @@
   ]
 }
 
-/** Starts stand-ins and two routers and puts configuration version 1 in force. */
+/** Starts stand-ins and two routers and applies configuration version 1. */
 export async function startSample(options: SampleOptions): Promise<Sample> {
   const standIns = await startStandIns(options.targets)
   const settingsWriter = createSettingsWriter(options.settingsFile, standIns)
