--- a/packages/daemon/src/node/admin/__tests__/adminApi.test.ts
+++ b/packages/daemon/src/node/admin/__tests__/adminApi.test.ts
@@ -152,22 +152,22 @@
     const list = targets.body as unknown as { id: string; draining: boolean }[]
     const charts = list.find((target) => target.id === 'charts-1')
     assert.equal(charts?.draining, true)
-    assert.equal((await post('/targets/nowhere/drain')).status, 422)
+    assert.equal((await post('/targets/unknown/drain')).status, 422)
     await post('/targets/charts-1/undrain')
   })
 
   it('explains which target a chat is routed to', async () => {
-    const where = await get('/chats/voyage-9')
-    const [location] = where.body as unknown as { target: string }[]
+    const located = await get('/chats/voyage-9')
+    const [location] = located.body as unknown as { target: string }[]
     const key = fleet.callerKey
     const response = await callChat(fleet.callerUrl(), key, 'voyage-9')
     assert.equal(response.headers[TARGET_HEADER], location?.target)
-    const why = await get(
+    const explained = await get(
       '/explain?service=briefing&customer=corrib&chat=voyage-9',
     )
-    assert.equal(why.body.chosen, location?.target)
-    assert.equal(why.body.candidates.length, 2)
-    assert.equal((await get('/explain?service=nothing')).status, 404)
+    assert.equal(explained.body.chosen, location?.target)
+    assert.equal(explained.body.candidates.length, 2)
+    assert.equal((await get('/explain?service=unknown')).status, 404)
     assert.equal((await get('/explain')).status, 400)
   })
 
@@ -181,7 +181,7 @@
   })
 
   it('rejects unknown paths, wrong methods and invalid fields', async () => {
-    assert.equal((await get('/nowhere')).status, 404)
+    assert.equal((await get('/unknown')).status, 404)
     assert.equal((await post('/routers')).status, 405)
     assert.equal((await get('/config/diff?from=x')).status, 400)
     const missing = await post('/config/patches', { operations: [] })
--- a/packages/daemon/src/node/admin/createConfigurationWriter.ts
+++ b/packages/daemon/src/node/admin/createConfigurationWriter.ts
@@ -90,8 +90,8 @@
     const history = await readHistory(log, tailer, record.baseVersion)
     const isComplete = history.isOk() && history.value.complete
     const entries = history.isOk() ? history.value.entries : []
-    const theirs = entries.flatMap((entry) => entry.operations)
-    const check = checkRebase(record.operations, theirs)
+    const appliedOperations = entries.flatMap((entry) => entry.operations)
+    const check = checkRebase(record.operations, appliedOperations)
     const message = `version ${tailer.state.version} came into force first; read it and submit the patch again against it`
     return createErrorResponse(AdminErrorCode.Conflict, message, {
       ...outcome,
--- a/packages/daemon/src/node/admin/routes/createConfigurationRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createConfigurationRoutes.ts
@@ -4,7 +4,10 @@
 import { moveConfiguration } from '../moveConfiguration.js'
 import type { AdminRoute } from '../adminRoute.js'
 
-/** Routes that show the active configuration and each router's version, or move it. */
+/**
+ * Routes that show the active configuration and each router's version, and move
+ * the configuration to another log.
+ */
 export function createConfigurationRoutes(
   options: AdminServerOptions,
 ): AdminRoute[] {
--- a/packages/daemon/src/node/admin/routes/createHistoryRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createHistoryRoutes.ts
@@ -9,13 +9,13 @@
 
 /** Number of history entries returned by default. */
 const DEFAULT_LIMIT = 20
-const versionSchema = z.coerce.number().int().min(0)
+const nonNegativeIntSchema = z.coerce.number().int().min(0)
 const historyQuerySchema = z.object({
-  limit: versionSchema.default(DEFAULT_LIMIT),
+  limit: nonNegativeIntSchema.default(DEFAULT_LIMIT),
 })
 const diffQuerySchema = z.object({
-  from: versionSchema,
-  to: versionSchema.optional(),
+  from: nonNegativeIntSchema,
+  to: nonNegativeIntSchema.optional(),
 })
 
 function redactEntry(entry: HistoryEntry) {
--- a/packages/daemon/src/node/admin/routes/createKeyRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createKeyRoutes.ts
@@ -45,8 +45,8 @@
   }
 
   function notFound(customer: string, keyId?: string): AdminResponse {
-    const what = keyId === undefined ? '' : ` or it has no key ${keyId}`
-    const message = `there is no customer ${customer}${what}`
+    const keyClause = keyId === undefined ? '' : ` or it has no key ${keyId}`
+    const message = `there is no customer ${customer}${keyClause}`
     return createErrorResponse(AdminErrorCode.NotFound, message)
   }
 
--- a/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
+++ b/packages/daemon/src/node/callers/__tests__/wholeAnswers.test.ts
@@ -21,8 +21,8 @@
   startFleet,
 } from '../../__tests__/startFleet.js'
 
-/** Limits that a busy machine does not reach. */
-const LONG_LIMITS = {
+/** Timeouts that do not expire on a busy machine. */
+const LONG_TIMEOUTS = {
   connectTimeoutMs: 60_000,
   firstByteTimeoutMs: 60_000,
   idleTimeoutMs: 60_000,
@@ -32,21 +32,24 @@
   let fleet: Fleet
 
   before(async () => {
-    fleet = await startFleet({ engines: 1, settings: { targets: LONG_LIMITS } })
+    fleet = await startFleet({
+      engines: 1,
+      settings: { targets: LONG_TIMEOUTS },
+    })
   })
 
-  /** Gives a test about silence a fleet of its own with a short limit. */
-  async function limitSilence(
+  /** Starts a fleet with short timeouts for a test about stalled connections. */
+  async function startShortTimeoutFleet(
     t: TestContext,
-    limit: Partial<typeof LONG_LIMITS>,
+    timeouts: Partial<typeof LONG_TIMEOUTS>,
   ): Promise<void> {
-    const longLimited = fleet
-    const targets = { ...LONG_LIMITS, ...limit }
-    const limited = await startFleet({ engines: 1, settings: { targets } })
-    fleet = limited
+    const sharedFleet = fleet
+    const targets = { ...LONG_TIMEOUTS, ...timeouts }
+    const ownFleet = await startFleet({ engines: 1, settings: { targets } })
+    fleet = ownFleet
     t.after(() => {
-      fleet = longLimited
-      return limited.stop()
+      fleet = sharedFleet
+      return ownFleet.stop()
     })
   }
 
@@ -72,7 +75,7 @@
     return callChat(fleet.callerUrl(), fleet.callerKey, 'chat-1', headers)
   }
 
-  function assertWhole(response: CallerResponse): void {
+  function assertComplete(response: CallerResponse): void {
     assert.equal(response.status, 200)
     assert.ok(response.complete)
     assert.equal(response.text, streamText(lastRun()))
@@ -83,25 +86,25 @@
     const { length } = streamText(lastRun())
     for (let bytes = 0; bytes < length; bytes += 23) {
       engine().queuedFaults.push({ cutAfterBytes: bytes })
-      assertWhole(await call())
+      assertComplete(await call())
     }
   })
 
   it('is resumed where it is cut twice and then stalls', async (t) => {
-    await limitSilence(t, { idleTimeoutMs: 100 })
+    await startShortTimeoutFleet(t, { idleTimeoutMs: 100 })
     const ran = engine().runs.length
     engine().queuedFaults.push(
       { cutAfterEvents: 3 },
       { cutAfterBytes: 150 },
       { silentAfterEvents: 2 },
     )
-    assertWhole(await call())
+    assertComplete(await call())
     assert.equal(engine().runs.length, ran + 1)
   })
 
   it('is resumed where it ends without an end marker', async () => {
     engine().queuedFaults.push({ withholdEnd: true })
-    assertWhole(await call())
+    assertComplete(await call())
   })
 
   it('is truncated detectably where the engine has lost the run', async () => {
@@ -131,11 +134,11 @@
   })
 
   it('arrives over a new connection where the pooled ones have stalled', async (t) => {
-    await limitSilence(t, { firstByteTimeoutMs: 200 })
-    assertWhole(await call())
+    await startShortTimeoutFleet(t, { firstByteTimeoutMs: 200 })
+    assertComplete(await call())
     engine().stallConnections()
     const response = await call()
-    assertWhole(response)
+    assertComplete(response)
     assert.equal(response.headers[TARGET_HEADER], 'engine-1')
   })
 
--- a/packages/daemon/src/node/callers/relayEventStream.ts
+++ b/packages/daemon/src/node/callers/relayEventStream.ts
@@ -6,7 +6,7 @@
 
 /** Requests the rest of a stream; undefined when the request failed. */
 export type ResumeStream = (
-  fromNumber: number,
+  fromEventNumber: number,
 ) => Promise<TargetResponse | undefined>
 
 /** Consecutive resumes without a new event that are tolerated. */
@@ -24,23 +24,23 @@
     const events = assembler.push(decoder.decode(chunk, { stream: true }))
     await writeToCaller(res, events)
     if (assembler.fault !== undefined) return
-    // Reading on to the end lets the connection be reused.
+    // The body is read to its end so that the connection can be reused.
     if (assembler.done && !res.writableEnded) res.end()
   }
 }
 
-/** Relays an event stream in complete events and resumes it where it is truncated. */
+/** Relays an event stream in complete events and resumes it after a truncation. */
 export async function relayEventStream(
   res: ServerResponse,
-  first: TargetResponse,
+  initialResponse: TargetResponse,
   resume: ResumeStream,
   signal: AbortSignal,
 ): Promise<void> {
   const assembler = createStreamAssembler()
-  let response: TargetResponse | undefined = first
+  let response: TargetResponse | undefined = initialResponse
   let emptyResumes = 0
   for (;;) {
-    const before = assembler.nextEventNumber
+    const previousEventNumber = assembler.nextEventNumber
     if (response)
       await relayResponse(res, response, assembler).catch(() => undefined)
     if (assembler.done) return
@@ -51,7 +51,8 @@
       throw new Error('the stream was cut and cannot be resumed')
     if (signal.aborted || res.destroyed)
       throw new Error('the caller disconnected or the deadline passed')
-    emptyResumes = nextEventNumber === before ? emptyResumes + 1 : 0
+    emptyResumes =
+      nextEventNumber === previousEventNumber ? emptyResumes + 1 : 0
     if (emptyResumes > MAX_EMPTY_RESUMES)
       throw new Error(`${emptyResumes} consecutive resumes brought no event`)
     if (emptyResumes > 0) await sleep(RESUME_BACKOFF_MS * emptyResumes)
--- a/packages/daemon/src/node/health/createHealthTrackingClient.ts
+++ b/packages/daemon/src/node/health/createHealthTrackingClient.ts
@@ -33,7 +33,8 @@
   failure: TargetFailure,
 ): void {
   const { code, verdict, reusedConnection } = failure
-  // A reused connection may have gone stale: no evidence against the target.
+  // A reused connection may be stale, so its failure does not count against the
+  // target.
   if (reusedConnection) tracked.recordUnknown()
   else if (code === FailureCode.TargetFailed && verdict === Verdict.NotRun)
     tracked.recordRefusal()
--- a/packages/daemon/src/node/limits/__tests__/createServiceConcurrency.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/createServiceConcurrency.test.ts
@@ -81,7 +81,7 @@
 }
 
 describe('createServiceConcurrency', () => {
-  it('is the share of each router before any digest arrives', () => {
+  it('returns the share of the router before any digest arrives', () => {
     assert.equal(setUp().concurrencyAfter(0), CAPACITY / 3)
   })
 
@@ -111,7 +111,7 @@
     assert.equal(concurrencyAfter(STEP_MS), CAPACITY / 2 / 3)
   })
 
-  it('is the configured maximum when targets have no limit', () => {
+  it('returns the configured maximum when targets have no limit', () => {
     assert.equal(setUp().concurrency('charts'), MAX_IN_FLIGHT)
   })
 })
--- a/packages/daemon/src/node/limits/__tests__/fleetLimits.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/fleetLimits.test.ts
@@ -69,9 +69,9 @@
         prompt: 'hold',
         headers: { [CHAT_HEADER]: `hold-${open.length}` },
       })
-      const isRejectedCall = call.response.then(() => true)
+      const hasResponse = call.response.then(() => true)
       const isHeld = eventually(() => engine.runs.length > before)
-      if (await Promise.race([isRejectedCall, isHeld])) return false
+      if (await Promise.race([hasResponse, isHeld])) return false
       open.push(call)
       return true
     }
--- a/packages/daemon/src/node/orders/createOrderTask.ts
+++ b/packages/daemon/src/node/orders/createOrderTask.ts
@@ -38,7 +38,7 @@
   readonly announceDraining: (targets: readonly string[]) => void
   /** Whether this router reads the log and the log responds. */
   readonly readsLog: () => boolean
-  /** Loads of weights a minute over the whole fleet. */
+  /** Maximum number of weight loads per minute in the fleet. */
   readonly loadsPerMinute: number
   /** Milliseconds of the monotonic clock. */
   readonly now: () => number
--- a/packages/daemon/src/node/orders/engineClient.ts
+++ b/packages/daemon/src/node/orders/engineClient.ts
@@ -35,7 +35,7 @@
   return parsed.success ? parsed.data.inFlight : undefined
 }
 
-/** Sends the whole state; only reading it back shows whether it was applied. */
+/** Sends the complete state; only reading it back shows whether it was applied. */
 export async function sendEngineState(
   address: string,
   token: number,
--- a/packages/daemon/src/node/routing/chooseGroups.ts
+++ b/packages/daemon/src/node/routing/chooseGroups.ts
@@ -17,7 +17,7 @@
 /** Maximum number of groups that a request tries before it waits. */
 const MAX_GROUPS_PER_REQUEST = 3
 
-/** Lists the groups to try: the hinted target's, then those with capacity. */
+/** Lists the groups to try: that of the hinted target, then those with capacity. */
 export function chooseGroups(options: ChooseGroupsOptions): TargetGroup[] {
   const { table, load, key, hint, maxLoadFactor, eligible } = options
   if (table.groups.length === 1) return [...table.groups]
--- a/packages/daemon/src/node/routing/createFleetView.ts
+++ b/packages/daemon/src/node/routing/createFleetView.ts
@@ -92,7 +92,8 @@
       const nowMs = options.now()
       const next = new Set<string>()
       for (const { service, targets } of tables) {
-        // A target may never be listed, but once listed it must stay listed.
+        // A target that was never on the VM list counts as present; one that was
+        // listed counts as present only while it is.
         const present = [...targets.keys()].filter(
           (id) => listedIds.has(id) || !everListedIds.has(id),
         )
--- a/packages/daemon/src/node/routing/createGroupAllocator.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocator.ts
@@ -49,7 +49,7 @@
   readonly ageMs: number
 }
 
-/** Acquires slots of one group from its coordinator, maybe this router. */
+/** Acquires slots of one group from its coordinator, which may be this router. */
 export interface GroupAllocator {
   readonly group: TargetGroup
   /** Whether this router currently grants slots of the group. */
--- a/packages/daemon/src/node/routing/createGroupAllocators.ts
+++ b/packages/daemon/src/node/routing/createGroupAllocators.ts
@@ -18,7 +18,7 @@
   handleCollectRequest(request: CollectRequest): CollectResponse
 }
 
-/** Creates allocators on demand; changed members mean a new allocator. */
+/** Creates allocators on demand, and anew when the members of a group change. */
 export function createGroupAllocators(
   router: string,
   incarnation: string,
--- a/packages/daemon/src/node/routing/createRouting.ts
+++ b/packages/daemon/src/node/routing/createRouting.ts
@@ -54,7 +54,7 @@
 const RETRY_AFTER_S = 1
 const UPDATE_INTERVAL_MS = 100
 /** Load report intervals that a group stays active after its last request. */
-const IDLE_REPORT_ROUNDS = 3
+const ACTIVE_REPORT_INTERVALS = 3
 
 /** Creates routing that acquires slots from each group's coordinator. */
 export function createRouting(options: RoutingOptions): CoordinatorRouting {
@@ -71,10 +71,14 @@
   const eligible = (id: string): boolean =>
     view.acceptsNewRequests(id) && options.eligible(id, true)
 
-  /** An idle group has no load to report and no new cache events. */
+  /**
+   * Whether a group has load or recent requests; any other group has no load to
+   * report and no new cache events.
+   */
   function isActive(group: TargetGroup): boolean {
     const idleMs = now() - allocators.getOrCreate(group).lastRequestAtMs
-    if (idleMs <= IDLE_REPORT_ROUNDS * settings.targets.reportMs) return true
+    if (idleMs <= ACTIVE_REPORT_INTERVALS * settings.targets.reportMs)
+      return true
     return group.members.some(({ id }) => load.get(id) > 0)
   }
 
--- a/packages/daemon/src/node/security/__tests__/authentication.test.ts
+++ b/packages/daemon/src/node/security/__tests__/authentication.test.ts
@@ -39,7 +39,7 @@
       ],
       ['an expired key', () => expiredKey],
       ['the administration secret', () => TEST_ADMIN_TOKEN],
-      ['a revoked key', () => 'corrib/gone/secret'],
+      ['an unknown key id', () => 'corrib/unknown/secret'],
     ]
     for (const [name, key] of keys) {
       it(`rejects ${name}`, async () => {
--- a/packages/daemon/src/node/security/__tests__/headers.test.ts
+++ b/packages/daemon/src/node/security/__tests__/headers.test.ts
@@ -30,7 +30,7 @@
         connection: 'x-internal',
         'x-internal': 'secret',
         'proxy-authenticate': 'Basic',
-        'x-kept': 'yes',
+        'x-end-to-end': 'yes',
       }
       sendJson(res, 200, {}, headers)
     })
@@ -57,18 +57,18 @@
         'proxy-authorization': 'Basic x',
         'keep-alive': 'timeout=5',
         upgrade: 'h2c',
-        'x-kept': 'yes',
+        'x-end-to-end': 'yes',
       },
     })
     assert.equal(response.status, 200)
     const headers = seen.at(-1) ?? {}
-    assert.equal(headers['x-kept'], 'yes')
+    assert.equal(headers['x-end-to-end'], 'yes')
     const hopByHop = ['x-private', 'te', 'upgrade', 'keep-alive']
     for (const name of [...hopByHop, 'authorization', 'proxy-authorization'])
       assert.equal(headers[name], undefined, name)
     assert.ok(headers['x-request-id'])
     assert.notEqual(headers['x-request-id'], 'chosen-by-the-caller')
-    assert.equal(response.headers['x-kept'], 'yes')
+    assert.equal(response.headers['x-end-to-end'], 'yes')
     assert.equal(response.headers['x-internal'], undefined)
     assert.equal(response.headers['proxy-authenticate'], undefined)
   })
