--- a/packages/daemon/src/node/admin/routes/createSectionRoutes.ts
+++ b/packages/daemon/src/node/admin/routes/createSectionRoutes.ts
@@ -13,7 +13,7 @@
 import type { ConfigurationWriter } from '../createConfigurationWriter.js'
 import { parseBody } from '../parseBody.js'
 
-/** Fields kept on update: clients only see redacted hashes to send back. */
+/** Fields that an update may omit, as clients see only their redacted hashes. */
 const PRESERVED_FIELDS = ['keys', 'token'] as const
 
 const entryBodySchema = z.record(z.string(), z.unknown())
--- a/packages/daemon/src/node/claims/claimKey.ts
+++ b/packages/daemon/src/node/claims/claimKey.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto'
 import type { RoutedRequest } from '../callers/routedRequest.js'
 
-/** Bytes kept of a digest: two inputs collide with probability 2^-128. */
+/** Bytes of a truncated digest; two inputs collide with probability 2^-128. */
 const DIGEST_BYTES = 16
 
 function digest(parts: readonly (string | Buffer)[]): string {
--- a/packages/daemon/src/node/claims/createClaimTailer.ts
+++ b/packages/daemon/src/node/claims/createClaimTailer.ts
@@ -37,8 +37,8 @@
       nextOffset = 0
     }
     if (page.firstOffset > nextOffset) {
-      const oldestKeptMs = page.records[0]?.atMs ?? Infinity
-      table.reset(Math.min(oldestKeptMs, epochNow() - logRetentionMs))
+      const oldestRecordAtMs = page.records[0]?.atMs ?? Infinity
+      table.reset(Math.min(oldestRecordAtMs, epochNow() - logRetentionMs))
       nextOffset = page.firstOffset
     }
   }
--- a/packages/daemon/src/node/health/__tests__/ejection.test.ts
+++ b/packages/daemon/src/node/health/__tests__/ejection.test.ts
@@ -36,7 +36,7 @@
     const chat = await findChat('engine-1')
     engine.faults.resetAfter = true
     const runsBefore = engine.runs.length
-    // A reset on a reused connection is no evidence against the target, so the
+    // A reset on a reused connection does not count against the target, so the
     // first request retries it on a new connection before it fails over.
     assert.equal((await call(chat)).headers[TARGET_HEADER], 'engine-2')
     assert.equal(engine.runs.length, runsBefore + 2)
--- a/packages/daemon/src/node/health/createHealthTrackingClient.ts
+++ b/packages/daemon/src/node/health/createHealthTrackingClient.ts
@@ -16,7 +16,7 @@
     tracked.recordFailure()
     return
   }
-  // The status decides a probe, which need not wait for a long stream to end.
+  // A probe is decided by the status, without waiting for a long stream to end.
   if (tracked.isProbe) {
     tracked.recordSuccess()
     return
--- a/packages/daemon/src/node/health/targetHealth.ts
+++ b/packages/daemon/src/node/health/targetHealth.ts
@@ -8,7 +8,7 @@
   recordFailure(): void
   /** Records that the target refused the request before running it. */
   recordRefusal(): void
-  /** Records an end without evidence, as when the caller disconnected. */
+  /** Records an end that says nothing about the target, as a disconnected caller. */
   recordUnknown(): void
 }
 
--- a/packages/daemon/src/node/limits/__tests__/limitMetrics.test.ts
+++ b/packages/daemon/src/node/limits/__tests__/limitMetrics.test.ts
@@ -8,14 +8,14 @@
 
 describe('metrics of limits, retries and ejection', () => {
   it('are sent to the StatsD address', async () => {
-    const statsD = createSocket('udp4')
+    const statsd = createSocket('udp4')
     let text = ''
-    statsD.on('message', (datagram) => {
+    statsd.on('message', (datagram) => {
       text += `${datagram.toString()}\n`
     })
-    statsD.bind(0, '127.0.0.1')
-    await once(statsD, 'listening')
-    const { port } = statsD.address()
+    statsd.bind(0, '127.0.0.1')
+    await once(statsd, 'listening')
+    const { port } = statsd.address()
     const fleet = await startFleet({
       engines: 2,
       settings: {
@@ -47,6 +47,6 @@
     assert.match(text, /limits\.refused:1\|c\|.*customer:corrib/)
     assert.match(text, /limits\.refused:1\|c\|.*limit:rate/)
     await fleet.stop()
-    statsD.close()
+    statsd.close()
   })
 })
--- a/packages/daemon/src/node/orders/__tests__/orders.test.ts
+++ b/packages/daemon/src/node/orders/__tests__/orders.test.ts
@@ -63,7 +63,7 @@
     await setDesiredModel('first', 1)
     let sent = 0
     const failed: string[] = []
-    // The engines are changed one after the other, while chats go on.
+    // Chats are sent while the engines are changed one after the other.
     const areChanged = async (): Promise<boolean> => {
       const chat = `chat-${sent}`
       const url = fleet.callerUrl(sent % 2)
--- a/packages/daemon/src/node/routing/__tests__/cacheEvents.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/cacheEvents.test.ts
@@ -53,16 +53,16 @@
     const other = preferred === 'engine-1' ? 'engine-2' : 'engine-1'
     const owner = { customer: 'corrib', service: 'briefing', chat: 'floe' }
     await eventually(async () => (await hintedTarget('floe')) === preferred)
-    const moved = signHint(HINT_SECRET, owner, other)
-    assert.equal(await targetOf('floe', moved), other)
+    const otherHint = signHint(HINT_SECRET, owner, other)
+    assert.equal(await targetOf('floe', otherHint), other)
     await eventually(async () => (await hintedTarget('floe')) === other)
     assert.equal(await targetOf('floe'), other)
 
     const engine = fleet.engines[Number(other.split('-')[1]) - 1]
     assert.ok(engine)
     engine.cacheEvents.loseNext = 1
-    const third = { ...owner, chat: 'berg' }
-    await targetOf('berg', signHint(HINT_SECRET, third, other))
+    const bergOwner = { ...owner, chat: 'berg' }
+    await targetOf('berg', signHint(HINT_SECRET, bergOwner, other))
     await targetOf(
       'lead',
       signHint(HINT_SECRET, { ...owner, chat: 'lead' }, other),
--- a/packages/daemon/src/node/routing/__tests__/grants.test.ts
+++ b/packages/daemon/src/node/routing/__tests__/grants.test.ts
@@ -60,10 +60,10 @@
 async function burst(
   running: Fleet,
   count: number,
-  through: readonly number[],
+  routers: readonly number[],
 ) {
   const calls = Array.from({ length: count }, (_, index) => {
-    const url = running.callerUrl(through[index % through.length])
+    const url = running.callerUrl(routers[index % routers.length])
     return callChat(url, running.callerKey, `burst-${index}`)
   })
   for (const response of await Promise.all(calls)) {
@@ -76,9 +76,9 @@
 const UNREACHED_TIMEOUT_MS = 600_000
 
 /** Starts a streaming chat; resolves at the response head, while the run is in flight. */
-function startStream(running: Fleet, chat: string, through: number) {
+function startStream(running: Fleet, chat: string, router: number) {
   return new Promise<IncomingMessage>((resolve, reject) => {
-    const req = request(`${running.callerUrl(through)}/v1/chat/completions`, {
+    const req = request(`${running.callerUrl(router)}/v1/chat/completions`, {
       method: 'POST',
       headers: {
         authorization: `Bearer ${running.callerKey}`,
--- a/packages/daemon/src/node/security/__tests__/authentication.test.ts
+++ b/packages/daemon/src/node/security/__tests__/authentication.test.ts
@@ -21,8 +21,8 @@
     expiredKey = key.text
     const value = { ...key.stored, expiresAtMs: 1 }
     const path = '/customers/corrib/keys/old'
-    const reply = await fleet.patch([{ op: 'add', path, value }], 1)
-    assert.equal(reply.status, 200)
+    const response = await fleet.patch([{ op: 'add', path, value }], 1)
+    assert.equal(response.status, 200)
   })
 
   after(() => fleet.stop())
@@ -63,8 +63,8 @@
     for (const [name, token] of tokens) {
       it(`rejects ${name}`, async () => {
         for (const path of paths) {
-          const reply = await callAdmin(fleet, { path, token: token() })
-          assert.equal(reply.status, 401, path)
+          const response = await callAdmin(fleet, { path, token: token() })
+          assert.equal(response.status, 401, path)
         }
       })
     }
@@ -92,14 +92,14 @@
       it(`rejects ${name}`, async () => {
         const peers = fleet.routers[0]?.addresses.peers
         assert.ok(peers)
-        const reply = await requestJson({
+        const response = await requestJson({
           method: 'POST',
           url: `http://${formatAddress(peers)}/heartbeat`,
           headers: secret === undefined ? {} : { [PEER_SECRET_HEADER]: secret },
           body: {},
           timeoutMs: 5_000,
         })
-        assert.equal(reply._unsafeUnwrap().status, 401)
+        assert.equal(response._unsafeUnwrap().status, 401)
       })
     }
   })
--- a/packages/daemon/src/node/security/__tests__/connectionLimits.test.ts
+++ b/packages/daemon/src/node/security/__tests__/connectionLimits.test.ts
@@ -37,12 +37,12 @@
       }
       await eventually(async () => {
         const url = `${fleet.callerUrl()}/healthz`
-        const reply = await requestJson({
+        const response = await requestJson({
           method: 'GET',
           url,
           timeoutMs: 2_000,
         })
-        return reply.isOk()
+        return response.isOk()
       })
     }))
 
@@ -50,14 +50,14 @@
     withFleet({ maxConnectionsPerCustomer: 1 }, async (fleet) => {
       const agents = [new Agent({ keepAlive: true }), new Agent()]
       const call = async (agent?: Agent) => {
-        const reply = await requestJson({
+        const response = await requestJson({
           method: 'GET',
           url: `${fleet.callerUrl()}/v1/services/charts/x`,
           headers: { authorization: `Bearer ${fleet.callerKey}` },
           timeoutMs: 5_000,
           agent,
         })
-        return reply._unsafeUnwrap()
+        return response._unsafeUnwrap()
       }
       assert.equal((await call(agents[0])).status, 200)
       const second = await call(agents[1])
--- a/packages/daemon/src/node/targets/createCacheEventReader.ts
+++ b/packages/daemon/src/node/targets/createCacheEventReader.ts
@@ -22,7 +22,7 @@
   readonly targets: PolledTargets
   /** Milliseconds between two polls. */
   readonly intervalMs: number
-  /** Chats that are tracked at most. */
+  /** Maximum number of tracked chats. */
   readonly maxChats: number
   /** Returns the key under which a chat is stored. */
   readonly keyOf: (chat: string) => string
