--- a/packages/daemon/src/node/admission/__tests__/createServiceQueue.test.ts
+++ b/packages/daemon/src/node/admission/__tests__/createServiceQueue.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { setImmediate as turn } from 'node:timers/promises'
+import { setImmediate as nextTurn } from 'node:timers/promises'
 import { DeadlinePassed } from '../../callers/deadlinePassed.js'
 import { resolveSettings } from '../../settings/resolveSettings.js'
 import { createServiceQueue, type Release } from '../createServiceQueue.js'
@@ -48,11 +48,11 @@
   }
   const enqueueMany = async (rank: number, count: number) => {
     for (let index = 0; index < count; index += 1) void enqueue(rank)
-    await turn()
+    await nextTurn()
   }
   const release = async () => {
     releases.pop()?.()
-    await turn()
+    await nextTurn()
   }
   return { queue, failures, caller, enqueue, enqueueMany, release }
 }
@@ -73,7 +73,7 @@
     assert.equal(queue.running, CONCURRENCY - RESERVED)
     assert.equal(queue.waiting, RESERVED - 1)
     caller.abort()
-    await turn()
+    await nextTurn()
     assert.equal(queue.waiting, 0)
   })
 
@@ -81,7 +81,7 @@
     const { queue, enqueueMany } = setUp()
     await enqueueMany(5, CONCURRENCY)
     queue.setConcurrency(CONCURRENCY * 2)
-    await turn()
+    await nextTurn()
     assert.equal(queue.running, CONCURRENCY)
     assert.equal(queue.waiting, 0)
   })
@@ -91,10 +91,10 @@
     const resume = [queue.pause(), queue.pause()]
     await enqueueMany(0, 1)
     resume[0]?.()
-    await turn()
+    await nextTurn()
     assert.equal(queue.running, 0)
     resume[1]?.()
-    await turn()
+    await nextTurn()
     assert.equal(queue.running, 1)
   })
 
@@ -108,7 +108,7 @@
     assert.deepEqual(failures, ['shed', 'shed'])
     assert.equal(queue.waiting, MAX_WAITING)
     caller.abort()
-    await turn()
+    await nextTurn()
   })
 
   it('distinguishes a passed deadline from a disconnected caller', async () => {
@@ -119,7 +119,7 @@
       const { failures, caller, enqueueMany } = setUp()
       await enqueueMany(5, CONCURRENCY - RESERVED + 1)
       caller.abort(reason)
-      await turn()
+      await nextTurn()
       assert.deepEqual(failures, [expected])
     }
   })
@@ -131,6 +131,6 @@
     assert.deepEqual(failures, ['expired'])
     assert.equal(queue.waiting, 1)
     caller.abort()
-    await turn()
+    await nextTurn()
   })
 })
