--- a/packages/daemon/src/node/health/createHealthTrackingClient.ts
+++ b/packages/daemon/src/node/health/createHealthTrackingClient.ts
@@ -16,7 +16,7 @@
     tracked.recordFailure()
     return
   }
-  // The status decides a probe, which need not wait for a long stream to end.
+  // A probe is decided by the status, without waiting for a long stream to end.
   if (tracked.isProbe) {
     tracked.recordSuccess()
     return
@@ -33,7 +33,8 @@
   failure: TargetFailure,
 ): void {
   const { code, verdict, reusedConnection } = failure
-  // A reused connection may have gone stale: no evidence against the target.
+  // A reused connection may be stale, so its failure does not count against the
+  // target.
   if (reusedConnection) tracked.recordUnknown()
   else if (code === FailureCode.TargetFailed && verdict === Verdict.NotRun)
     tracked.recordRefusal()
